--- a/src/chain/adoption_queue.rs
+++ b/src/chain/adoption_queue.rs
@@ -7,7 +7,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
-use crate::seam::OperatorSide;
+use crate::protocol::OperatorProtocol;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -30,11 +30,11 @@
 }
 
 impl WaitingOrder {
-    pub fn revision(&self, side: Option<&dyn OperatorSide>) -> Option<u64> {
+    pub fn revision(&self, side: Option<&dyn OperatorProtocol>) -> Option<u64> {
         *self.revision.get_or_init(|| side?.revision(&self.text))
     }
 
-    fn makes(&self, revision: u64, side: Option<&dyn OperatorSide>) -> bool {
+    fn makes(&self, revision: u64, side: Option<&dyn OperatorProtocol>) -> bool {
         self.base.is_none_or(|base| base < revision) && self.revision(side) == Some(revision)
     }
 }
@@ -50,7 +50,7 @@
 /// The orders that wait at the head, and the one that is on its way through the chain.
 #[derive(Clone, Default)]
 pub struct AdoptionQueue {
-    pub(super) side: Option<Arc<dyn OperatorSide>>,
+    pub(super) side: Option<Arc<dyn OperatorProtocol>>,
     pub(super) orders: Vec<WaitingOrder>,
     pub(super) under_way: Option<UnderWay>,
     live: BTreeMap<NodeId, (Time, Vec<LiveRoute>)>,
@@ -58,7 +58,7 @@
 
 impl AdoptionQueue {
     /// A queue that reads documents by `side`.
-    pub fn new(side: Option<Arc<dyn OperatorSide>>) -> AdoptionQueue {
+    pub fn new(side: Option<Arc<dyn OperatorProtocol>>) -> AdoptionQueue {
         AdoptionQueue { side, ..AdoptionQueue::default() }
     }
 
--- a/src/chain/change_queue.rs
+++ b/src/chain/change_queue.rs
@@ -9,7 +9,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
-use crate::seam::OperatorSide;
+use crate::protocol::OperatorProtocol;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -41,7 +41,7 @@
 
 impl ChangeQueue {
     /// A queue that takes configurations in the format of `side` too.
-    pub fn new(side: Option<Arc<dyn OperatorSide>>) -> ChangeQueue {
+    pub fn new(side: Option<Arc<dyn OperatorProtocol>>) -> ChangeQueue {
         ChangeQueue { adoptions: AdoptionQueue::new(side), ..ChangeQueue::default() }
     }
 
--- a/src/daemon/assemble.rs
+++ b/src/daemon/assemble.rs
@@ -13,11 +13,11 @@
 use crate::membership::Membership;
 use crate::msg::{Record, Role};
 use crate::placement::Placement;
+use crate::protocol::Protocols;
 use crate::relay::Relay;
 use crate::rollout::Rollout;
 use crate::runner_list::reader::ListReader;
 use crate::runner_list::timing::ListTiming;
-use crate::seam::Sides;
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     pub policy: Policy,
     /// Set where there is a list of runners to be read.
     pub list: Option<ListTiming>,
-    pub sides: Sides,
+    pub protocols: Protocols,
     pub quota: QuotaSettings,
 }
 
@@ -90,12 +90,12 @@
     let chain = Chain::new(ident, records, now);
     node.add(Box::new(Membership::default()));
     node.add(Box::new(chain));
-    node.add(Box::new(ChangeQueue::new(place.sides.operator.clone())));
+    node.add(Box::new(ChangeQueue::new(place.protocols.operator.clone())));
     node.add(Box::new(ServingLeases::default()));
     node.add(Box::new(QuotaOwner::new(place.quota)));
     node.add(Box::new(Relay::default()));
     node.add(Box::new(Rollout::default()));
-    let bare_plain = !place.sides.runner.plain_reports();
+    let bare_plain = !place.protocols.runner.plain_services_report();
     let mut duty = Placement::new(now, place.policy);
     duty.bare_plain = bare_plain;
     node.add(Box::new(duty));
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -4,7 +4,7 @@
 use crate::kernel::fault::{Fault, Kind};
 use crate::kernel::ids::Name;
 use crate::msg::Role;
-use crate::seam::Sides;
+use crate::protocol::Protocols;
 use pico_args::Arguments;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -25,7 +25,7 @@
     pub lame_ms: u64,
     pub proof_ms: u64,
     pub lease_ms: u64,
-    pub sides: Sides,
+    pub protocols: Protocols,
     pub quota: QuotaSettings,
     pub lean: bool,
 }
@@ -214,7 +214,7 @@
     match (addr, admin) {
         (Some(addr), Some(admin)) if bad.is_empty() => {
             let domain = Name(domain);
-            let (sides, lean) = (Sides::default(), false);
+            let (protocols, lean) = (Protocols::default(), false);
             Ok(NodeConfig {
                 role,
                 addr,
@@ -230,7 +230,7 @@
                 lame_ms,
                 proof_ms,
                 lease_ms,
-                sides,
+                protocols,
                 quota: QuotaSettings::default(),
                 lean,
             })
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -4,7 +4,7 @@
 use crate::http::pool::{Pool, open};
 use crate::kernel::time::Clock;
 use crate::msg::RunnerOrder;
-use crate::seam::RunnerSide;
+use crate::protocol::RunnerProtocol;
 use hyper::header::HeaderMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 const LIVE_EVERY: u64 = 8;
 const DUE: Duration = Duration::from_millis(1000);
 
-pub async fn report(pool: &Pool, side: &dyn RunnerSide, r: &Runner) -> Option<Report> {
+pub async fn report(pool: &Pool, side: &dyn RunnerProtocol, r: &Runner) -> Option<Report> {
     let call = side.report(r);
     let sent = call.headers().clone();
-    let own = |heads: &HeaderMap| side.echoes(&sent, heads);
+    let own = |heads: &HeaderMap| side.may_answer(&sent, heads);
     let (status, body) = pool.ask(r.addr, call, DUE, open(), own).await.ok()?;
     if status != 200 {
         return None;
@@ -23,12 +23,12 @@
     side.read_report(r, &body)
 }
 
-pub async fn drive(pool: &Pool, side: &dyn RunnerSide, clock: Arc<dyn Clock>, o: &RunnerOrder) -> u16 {
+pub async fn drive(pool: &Pool, side: &dyn RunnerProtocol, clock: Arc<dyn Clock>, o: &RunnerOrder) -> u16 {
     let due = o.due;
     let check = Arc::new(move || clock.now() < due);
-    let call = side.drive(o);
+    let call = side.order_request(o);
     let sent = call.headers().clone();
-    let own = |heads: &HeaderMap| side.echoes(&sent, heads);
+    let own = |heads: &HeaderMap| side.may_answer(&sent, heads);
     match pool.ask(o.runner.addr, call, DUE, check, own).await {
         Ok((status, _)) => status,
         Err(SendError::NotSent | SendError::Barred) => 499,
--- a/src/daemon/roster.rs
+++ b/src/daemon/roster.rs
@@ -3,8 +3,8 @@
 use crate::http::pool::{Pool, open};
 use crate::kernel::time::Clock;
 use crate::msg::Event;
+use crate::protocol::{Protocols, RunnerListProtocol};
 use crate::runner_list::messages::RunnerListing;
-use crate::seam::{RunnerList, Sides};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 /// Asks for the list of runners: again and again while this node holds the duty to, else when it is told to.
 pub struct Roster {
-    side: Arc<dyn RunnerList>,
+    side: Arc<dyn RunnerListProtocol>,
     pool: Arc<Pool>,
     hand: Hand,
     clock: Arc<dyn Clock>,
@@ -24,8 +24,13 @@
 }
 
 impl Roster {
-    pub fn new(sides: &Sides, pool: Arc<Pool>, hand: Hand, clock: Arc<dyn Clock>) -> Option<Arc<Roster>> {
-        let side = sides.list.clone()?;
+    pub fn new(
+        protocols: &Protocols,
+        pool: Arc<Pool>,
+        hand: Hand,
+        clock: Arc<dyn Clock>,
+    ) -> Option<Arc<Roster>> {
+        let side = protocols.list.clone()?;
         let r =
             Arc::new(Roster { side, pool, hand, clock, on: AtomicBool::new(false), wanted: Notify::new() });
         tokio::spawn(r.clone().run());
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -19,7 +19,7 @@
 use crate::kernel::registry::Registry;
 use crate::kernel::time::{BootClock, Clock, Span};
 use crate::msg::*;
-use crate::seam::Sides;
+use crate::protocol::Protocols;
 use error_stack::{Report, ResultExt};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, mpsc};
@@ -81,8 +81,8 @@
         proof: Span::ms(c.proof_ms),
         lease: Span::ms(c.lease_ms),
         policy: super::assemble::Policy::Move,
-        list: c.sides.list.as_ref().map(|list| list.timing()),
-        sides: c.sides.clone(),
+        list: c.protocols.list.as_ref().map(|list| list.timing()),
+        protocols: c.protocols.clone(),
         quota: c.quota,
     }
 }
@@ -103,7 +103,7 @@
     let clock: Arc<dyn Clock> = Arc::new(BootClock);
     let services = Arc::new(Registry::default());
     let links = Links::new(tokio::runtime::Handle::current());
-    let table = Arc::new(match c.sides.runner.plain_reports() {
+    let table = Arc::new(match c.protocols.runner.plain_services_report() {
         true => Table::new(c.domain.clone(), Span::ms(c.proof_ms)),
         false => Table::bare(c.domain.clone(), Span::ms(c.proof_ms)),
     });
@@ -114,10 +114,10 @@
     let routers = Arc::new(AtomicU64::new(1));
     let runners: Runners = Arc::default();
     let fit = Arc::new(AtomicBool::new(false));
-    let list = super::roster::Roster::new(&c.sides, pool.clone(), hand.clone(), clock.clone());
+    let list = super::roster::Roster::new(&c.protocols, pool.clone(), hand.clone(), clock.clone());
     let departure: Arc<Mutex<Departure>> = Arc::default();
     let flags = (&runners, &fit, &departure);
-    let act = act(&table, &clock, &pool, &hand, &routers, flags, (&c.sides, list));
+    let act = act(&table, &clock, &pool, &hand, &routers, flags, (&c.protocols, list));
     let (spot, role, ticks) = (place(&c), c.role, clock.clone());
     let build = Box::new(move |records| {
         let now = ticks.now();
@@ -145,7 +145,7 @@
         open: AtomicU64::new(0),
         seen: Default::default(),
         clients: ClientConnections::new(clock.clone()),
-        sides: c.sides.clone(),
+        protocols: c.protocols.clone(),
     });
     super::status::admin(&c, &hand, &front, &links, (stopping.clone(), fit), admin_socket);
     if let Some(socket) = http_socket {
@@ -178,11 +178,11 @@
     hand: &Hand,
     routers: &Arc<AtomicU64>,
     (runners, fit, departure): (&Runners, &Arc<AtomicBool>, &Arc<Mutex<Departure>>),
-    (sides, list): (&Sides, Option<Arc<super::roster::Roster>>),
+    (protocols, list): (&Protocols, Option<Arc<super::roster::Roster>>),
 ) -> super::driver::Act {
     let (table, clock, pool, hand, routers) =
         (table.clone(), clock.clone(), pool.clone(), hand.clone(), routers.clone());
-    let (runners, fit, side) = (runners.clone(), fit.clone(), sides.runner.clone());
+    let (runners, fit, side) = (runners.clone(), fit.clone(), protocols.runner.clone());
     let departure = departure.clone();
     let rt = tokio::runtime::Handle::current();
     Box::new(move |e| match e {
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -49,7 +49,7 @@
         hand: hand.clone(),
         ready: Box::new(ready),
         metrics: Box::new(metrics),
-        operator: c.sides.operator.clone(),
+        operator: c.protocols.operator.clone(),
     });
     tokio::spawn(serve(socket, Arc::new(move |order| Box::pin(desk.clone().answer(order)))));
 }
--- a/src/forwarding/request.rs
+++ b/src/forwarding/request.rs
@@ -5,7 +5,7 @@
 use crate::gate::{Gate, Order, Plan, Refusal};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
-use crate::seam::Load;
+use crate::protocol::Load;
 use crate::transfer::Handover;
 use crate::transfer::continuation::Sequence;
 use crate::transfer::event_buffer::Item;
--- a/src/forwarding/resume.rs
+++ b/src/forwarding/resume.rs
@@ -6,7 +6,7 @@
 use crate::gate::{Gate, Refusal};
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
-use crate::seam::Load;
+use crate::protocol::Load;
 use crate::transfer::continuation::RunContract;
 use crate::transfer::event_buffer::Item;
 
--- a/src/gate/health.rs
+++ b/src/gate/health.rs
@@ -2,7 +2,7 @@
 use crate::fleet::runner::Report;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
-use crate::seam::Load;
+use crate::protocol::Load;
 
 pub const DARK: Span = Span::ms(2500);
 const FULL: Span = Span::ms(150);
--- a/src/gate/tell.rs
+++ b/src/gate/tell.rs
@@ -4,7 +4,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::{MoveTell, RouterTell};
-use crate::seam::Load;
+use crate::protocol::Load;
 
 const DEMAND: Span = Span::ms(2000);
 
--- a/src/hollow/size.rs
+++ b/src/hollow/size.rs
@@ -84,7 +84,7 @@
             lease: SERVING_LEASE,
             policy: Policy::Move,
             list: None,
-            sides: Default::default(),
+            protocols: Default::default(),
             quota: Default::default(),
         }
     }
--- a/src/http/admin.rs
+++ b/src/http/admin.rs
@@ -5,7 +5,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::rand::Kernel;
 use crate::msg::{Answer, Event, Op};
-use crate::seam::{OperatorSide, Wish};
+use crate::protocol::{OperatorProtocol, OperatorRequest};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, LOCATION};
@@ -18,7 +18,7 @@
     pub hand: Hand,
     pub ready: Box<dyn Fn() -> Result<(), String> + Send + Sync>,
     pub metrics: Box<dyn Fn() -> String + Send + Sync>,
-    pub operator: Option<Arc<dyn OperatorSide>>,
+    pub operator: Option<Arc<dyn OperatorProtocol>>,
 }
 
 struct Told {
@@ -74,16 +74,16 @@
         }
     }
 
-    async fn wished(&self, side: &dyn OperatorSide, call: &Told) -> Option<Response<OutBody>> {
+    async fn wished(&self, side: &dyn OperatorProtocol, call: &Told) -> Option<Response<OutBody>> {
         let base = call.base.as_deref();
         let id = match call.method.as_str() {
             "GET" => ChangeId::random(&mut Kernel),
             _ => side.id(&call.method, base, &call.text),
         };
-        let answer = match side.wish(id, &call.method, &call.path, base, &call.text)? {
-            Wish::Ready => return Some(self.ready_answer()),
-            Wish::Event(ev) => self.hand.ask(id, *ev).await,
-            Wish::Bad(answer) => answer,
+        let answer = match side.read_request(id, &call.method, &call.path, base, &call.text)? {
+            OperatorRequest::Ready => return Some(self.ready_answer()),
+            OperatorRequest::Event(ev) => self.hand.ask(id, *ev).await,
+            OperatorRequest::Bad(answer) => answer,
         };
         let mut response = operator(&answer);
         *response.status_mut() = StatusCode::from_u16(side.status(&answer)).unwrap_or_default();
--- a/src/http/answer.rs
+++ b/src/http/answer.rs
@@ -1,7 +1,7 @@
 use crate::gate::Refusal;
 use crate::json::tree::map;
 use crate::msg::Answer;
-use crate::seam::CallerSide;
+use crate::protocol::CallerProtocol;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
 use hyper::Response;
@@ -30,10 +30,10 @@
     own(408, "too-slow", "the request did not arrive within its time; send it again", 0, "refused")
 }
 
-pub fn refused(side: &dyn CallerSide, r: &Refusal) -> Response<OutBody> {
+pub fn refused(side: &dyn CallerProtocol, r: &Refusal) -> Response<OutBody> {
     let mut out = own(r.status(), r.code(), r.text(), r.wait.0.div_ceil(1_000_000), "refused");
     if out.headers().contains_key("retry-after")
-        && let Ok(v) = side.retry(r.wait).parse()
+        && let Ok(v) = side.retry_after(r.wait).parse()
     {
         out.headers_mut().insert("retry-after", v);
     }
--- a/src/http/attempt.rs
+++ b/src/http/attempt.rs
@@ -10,7 +10,7 @@
 use crate::forwarding::request::AttemptNo;
 use crate::gate::order::{Order, Why};
 use crate::kernel::time::Clock;
-use crate::seam::RunnerSide;
+use crate::protocol::RunnerProtocol;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -79,7 +79,7 @@
     heads.remove("content-length");
     heads.remove("expect");
     let left = job.order.end.since(job.clock.now());
-    job.side.dress(heads, runner, &job.order, job.last.as_deref(), left);
+    job.side.add_request_headers(heads, runner, &job.order, job.last.as_deref(), left);
     if let (false, Ok(host)) = (heads.contains_key("host"), HeaderValue::from_str(&runner.addr.to_string())) {
         heads.insert("host", host);
     }
@@ -92,7 +92,7 @@
     pub runner: Runner,
     pub last: Option<String>,
     pub order: Order,
-    pub side: Arc<dyn RunnerSide>,
+    pub side: Arc<dyn RunnerProtocol>,
     pub clock: Arc<dyn Clock>,
     pub shape: Arc<ForwardedRequest>,
     pub pool: Arc<Pool>,
@@ -130,7 +130,7 @@
         Err(SendError::Unsure) => return drop(say(In::Lost { attempt }).await),
     };
     let load = job.side.load(exchange.headers());
-    let judged = exchange.judge(|status, headers| job.side.judge(&sent, status, headers));
+    let judged = exchange.judge(|status, headers| job.side.classify_response(&sent, status, headers));
     if let (Some(load), false) = (load, matches!(judged, Judged::Stray)) {
         let _ = say(In::Load { attempt, load }).await;
     }
--- a/src/http/exchange.rs
+++ b/src/http/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Link, Resting};
 use crate::forwarding::AnswerEnd;
-use crate::seam::Verdict;
+use crate::protocol::ResponseOrigin;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::Response;
@@ -47,7 +47,7 @@
     }
 
     /// Keeps the answer only if `judge` finds that it belongs to the request. An interim status never does.
-    pub fn judge(self, judge: impl FnOnce(u16, &HeaderMap) -> Verdict) -> Judged {
+    pub fn judge(self, judge: impl FnOnce(u16, &HeaderMap) -> ResponseOrigin) -> Judged {
         if self.response.status().is_informational() {
             return Judged::Stray;
         }
@@ -55,10 +55,10 @@
         let end = end_of(&self.response);
         let answer = Answer { link: self.link, response: self.response, end, whole: false };
         match verdict {
-            Verdict::Own => Judged::Own(answer),
-            Verdict::NotRun => Judged::NotRun(answer),
-            Verdict::NotMine => Judged::NotMine(answer),
-            Verdict::Stray => Judged::Stray,
+            ResponseOrigin::Own => Judged::Own(answer),
+            ResponseOrigin::NotExecuted => Judged::NotRun(answer),
+            ResponseOrigin::Misdirected => Judged::NotMine(answer),
+            ResponseOrigin::Stray => Judged::Stray,
         }
     }
 }
--- a/src/http/forward.rs
+++ b/src/http/forward.rs
@@ -8,7 +8,7 @@
 use crate::forwarding::{In, Out, RequestFlow};
 use crate::gate::{Gate, Order, Plan};
 use crate::kernel::time::Clock;
-use crate::seam::{CallerSide, RunnerSide, Sides};
+use crate::protocol::{CallerProtocol, Protocols, RunnerProtocol};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::Response;
@@ -28,8 +28,8 @@
     pub pool: Arc<Pool>,
     pub clock: Arc<dyn Clock>,
     pub shape: Arc<ForwardedRequest>,
-    pub side: Arc<dyn RunnerSide>,
-    pub caller: Arc<dyn CallerSide>,
+    pub side: Arc<dyn RunnerProtocol>,
+    pub caller: Arc<dyn CallerProtocol>,
     request: RequestFlow,
     attempts: BTreeMap<AttemptNo, JoinHandle<()>>,
     heads: BTreeMap<AttemptNo, (u16, HeaderMap)>,
@@ -51,7 +51,7 @@
 pub struct ForwardJob {
     pub order: Order,
     pub shape: Arc<ForwardedRequest>,
-    pub sides: Sides,
+    pub protocols: Protocols,
 }
 
 /// Forwards a request until its answer is whole, broken off or nobody waits for it any more.
@@ -69,8 +69,8 @@
         pool,
         clock,
         shape: job.shape,
-        side: job.sides.runner,
-        caller: job.sides.caller,
+        side: job.protocols.runner,
+        caller: job.protocols.caller,
         request: RequestFlow::new(job.order),
         attempts: BTreeMap::new(),
         heads: BTreeMap::new(),
--- a/src/http/own.rs
+++ b/src/http/own.rs
@@ -6,7 +6,9 @@
 use crate::json::tree::map;
 use crate::kernel::time::Span;
 use crate::msg::RunnerOrder;
-use crate::seam::{Call, CallerSide, Keys, Load, RunnerSide, Verdict, tenant_value};
+use crate::protocol::{
+    Call, CallerProtocol, Load, RequestParams, ResponseOrigin, RunnerProtocol, tenant_value,
+};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -20,15 +22,20 @@
 pub struct OwnCaller;
 pub struct OwnRunner;
 
-impl CallerSide for OwnCaller {
-    fn take_key(&self, heads: &mut HeaderMap) -> Option<KeyDigest> {
+impl CallerProtocol for OwnCaller {
+    fn take_api_key(&self, heads: &mut HeaderMap) -> Option<KeyDigest> {
         let key = heads.remove(KEY_HEADER)?;
         Some(KeyDigest::of(key.as_bytes()))
     }
 
-    fn keys(&self, heads: &HeaderMap, body: &[u8], assistant: bool) -> Result<Keys, &'static str> {
+    fn read_params(
+        &self,
+        heads: &HeaderMap,
+        body: &[u8],
+        assistant: bool,
+    ) -> Result<RequestParams, &'static str> {
         let last = heads.get("last-event-id").and_then(|v| v.to_str().ok()).map(|s| s.to_string());
-        let mut out = Keys { last, ..Keys::default() };
+        let mut out = RequestParams { last, ..RequestParams::default() };
         if !assistant {
             return Ok(out);
         }
@@ -50,11 +57,11 @@
         Ok(out)
     }
 
-    fn retry(&self, wait: Span) -> String {
+    fn retry_after(&self, wait: Span) -> String {
         wait.0.div_ceil(1_000_000).max(1).to_string()
     }
 
-    fn start_by(&self, left: Span, _route: &Route) -> Span {
+    fn max_wait(&self, left: Span, _route: &Route) -> Span {
         left
     }
 }
@@ -70,8 +77,15 @@
         .expect("a valid order")
 }
 
-impl RunnerSide for OwnRunner {
-    fn dress(&self, heads: &mut HeaderMap, runner: &Runner, order: &Order, last: Option<&str>, _left: Span) {
+impl RunnerProtocol for OwnRunner {
+    fn add_request_headers(
+        &self,
+        heads: &mut HeaderMap,
+        runner: &Runner,
+        order: &Order,
+        last: Option<&str>,
+        _left: Span,
+    ) {
         if let Ok(target) = HeaderValue::from_str(&runner.instance.0) {
             heads.insert(HeaderName::from_static("x-target-instance"), target);
         }
@@ -84,15 +98,15 @@
         }
     }
 
-    fn judge(&self, _sent: &HeaderMap, status: u16, _heads: &HeaderMap) -> Verdict {
-        if status == 421 { Verdict::NotMine } else { Verdict::Own }
+    fn classify_response(&self, _sent: &HeaderMap, status: u16, _heads: &HeaderMap) -> ResponseOrigin {
+        if status == 421 { ResponseOrigin::Misdirected } else { ResponseOrigin::Own }
     }
 
     fn load(&self, _heads: &HeaderMap) -> Option<Load> {
         None
     }
 
-    fn plain_reports(&self) -> bool {
+    fn plain_services_report(&self) -> bool {
         true
     }
 
@@ -105,7 +119,7 @@
         Report::read(&tree).filter(|rep| rep.instance == runner.instance)
     }
 
-    fn drive(&self, o: &RunnerOrder) -> Call {
+    fn order_request(&self, o: &RunnerOrder) -> Call {
         let kind = if o.adapter { "adapter" } else { "model" };
         let body = map(&[
             ("order", o.order.to_string().into()),
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -3,7 +3,7 @@
 use super::connection::{Ready, Resting, SendError};
 use super::exchange::{Answer, BodyBroken, Judged};
 use super::guard::Check;
-use crate::seam::Verdict;
+use crate::protocol::ResponseOrigin;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -106,7 +106,9 @@
     ) -> Result<(u16, Bytes), SendError> {
         let work = async {
             let exchange = self.connect(addr).await?.send(request, check).await?;
-            let verdict = |_, headers: &HeaderMap| if own(headers) { Verdict::Own } else { Verdict::Stray };
+            let verdict = |_, headers: &HeaderMap| {
+                if own(headers) { ResponseOrigin::Own } else { ResponseOrigin::Stray }
+            };
             let Judged::Own(mut answer) = exchange.judge(verdict) else { return Err(SendError::Unsure) };
             let status = answer.status();
             let body = answer.collect(WHOLE_LIMIT).await.map_err(|BodyBroken| SendError::Unsure)?;
--- a/src/http/serve.rs
+++ b/src/http/serve.rs
@@ -10,7 +10,7 @@
 use crate::gate::order::Why;
 use crate::gate::{Order, Refusal, Table};
 use crate::kernel::time::{Clock, Span, Time};
-use crate::seam::Sides;
+use crate::protocol::Protocols;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -30,7 +30,7 @@
     pub open: AtomicU64,
     pub seen: super::sender::Seen,
     pub clients: Arc<ClientConnections>,
-    pub sides: Sides,
+    pub protocols: Protocols,
 }
 
 /// What a runner that stops at the end of its time has for its last word to arrive.
@@ -74,7 +74,7 @@
         self.open.fetch_add(1, Ordering::SeqCst);
         let _counted = Counted(&self.open);
         if self.stopping.load(Ordering::SeqCst) {
-            return refused(&*self.sides.caller, &Refusal::new(Why::Stopping, 1));
+            return refused(&*self.protocols.caller, &Refusal::new(Why::Stopping, 1));
         }
         if head_bytes(&order) > self.clients.limits().head_bytes {
             let text = "the request's head is over the configured limit; send a smaller one";
@@ -83,7 +83,7 @@
         let now = self.clock.now();
         let host = order.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or("").to_string();
         let Some((routes_at, routes)) = self.table.fresh_routes(now) else {
-            return refused(&*self.sides.caller, &Refusal::new(Why::Stale, 1));
+            return refused(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
         };
         let Some(row) = routes.find(&host, order.uri().path()) else {
             return own(
@@ -95,7 +95,7 @@
             );
         };
         let (mut parts, body) = order.into_parts();
-        let key = self.sides.caller.take_key(&mut parts.headers);
+        let key = self.protocols.caller.take_api_key(&mut parts.headers);
         let admission = match admit(&routes, row, key) {
             Ok(admission) => admission,
             Err(_) => return self.unknown_key(row),
@@ -126,10 +126,10 @@
             Err(answer) => return *answer,
         };
         if let Err(over) = take_token(&self.table, &*self.clock, &order).await {
-            return refused(&*self.sides.caller, &over);
+            return refused(&*self.protocols.caller, &over);
         }
         let Some(gate) = self.table.gate(&order.service) else {
-            return refused(&*self.sides.caller, &Refusal::new(Why::Stale, 1));
+            return refused(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
         };
         self.seen.add(&order, &host, parts.uri.path(), body.len());
         let uri = parts.uri.path_and_query().map_or("/", |p| p.as_str()).parse().unwrap_or_default();
@@ -139,7 +139,7 @@
             gate,
             self.pool.clone(),
             self.clock.clone(),
-            ForwardJob { order, shape, sides: self.sides.clone() },
+            ForwardJob { order, shape, protocols: self.protocols.clone() },
             tx,
         );
         let me = self.clone();
@@ -159,7 +159,7 @@
         if let Some(gate) = self.table.gate(&row.service) {
             gate.lock().unwrap().count("refused_unknown_key");
         }
-        refused(&*self.sides.caller, &Refusal::new(Why::UnknownKey, 0))
+        refused(&*self.protocols.caller, &Refusal::new(Why::UnknownKey, 0))
     }
 
     fn order(
@@ -173,7 +173,7 @@
         let service = row.pick(id ^ now.0).clone();
         let gate = self.table.gate(&service);
         let sort = gate.and_then(|g| g.lock().unwrap().slice.as_ref().map(|s| s.service.sort));
-        let keys = match self.sides.caller.keys(heads, body, sort == Some(Sort::Assistant)) {
+        let keys = match self.protocols.caller.read_params(heads, body, sort == Some(Sort::Assistant)) {
             Ok(keys) => keys,
             Err(text) => return Err(Box::new(own(400, "bad-order", text, 0, "refused"))),
         };
@@ -187,9 +187,9 @@
             adapter: keys.adapter,
             prefix: keys.prefix,
             resumable: row.route.resumable,
-            due: now + self.sides.caller.start_by(left, &row.route),
+            due: now + self.protocols.caller.max_wait(left, &row.route),
             end: now + left,
-            whole_by: self.sides.caller.bounds_whole().then_some(now + left + LAST_WORD),
+            whole_by: self.protocols.caller.deadline_covers_body().then_some(now + left + LAST_WORD),
             last: keys.last.filter(|_| row.route.resumable),
             kind: row.route.kind,
             tries: row.route.tries,
@@ -197,7 +197,7 @@
             gap: Span::ms(row.route.gap_ms),
             size: keys.size,
             parts: keys.parts,
-            runs: self.sides.runner.run_contract(),
+            runs: self.protocols.runner.run_contract(),
             ..Order::default()
         })
     }
--- a/src/kernel/event.rs
+++ b/src/kernel/event.rs
@@ -13,8 +13,8 @@
 use crate::kernel::time::Time;
 use crate::membership::messages::Row;
 use crate::msg::{Answer, Msg, Op};
+use crate::router_report::RouterTell;
 use crate::runner_list::messages::RunnerListing;
-use crate::tell::RouterTell;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/src/platform/caller.rs
+++ b/src/platform/caller.rs
@@ -2,7 +2,7 @@
 use crate::fleet::tenants::KeyDigest;
 use crate::gate::order::Size;
 use crate::kernel::time::Span;
-use crate::seam::{CallerSide, Keys, adapter_name};
+use crate::protocol::{CallerProtocol, RequestParams, adapter_name};
 use hyper::header::HeaderMap;
 
 const SILENCE_MS: u64 = 2000;
@@ -24,14 +24,22 @@
     text.split(',').filter(|r| !r.trim().is_empty()).map(one).collect()
 }
 
-impl CallerSide for Caller {
-    fn take_key(&self, heads: &mut HeaderMap) -> Option<KeyDigest> {
+impl CallerProtocol for Caller {
+    fn take_api_key(&self, heads: &mut HeaderMap) -> Option<KeyDigest> {
         let key = heads.remove(KEY_HEADER)?;
         Some(KeyDigest::of(key.as_bytes()))
     }
 
-    fn keys(&self, heads: &HeaderMap, _body: &[u8], _assistant: bool) -> Result<Keys, &'static str> {
-        let mut out = Keys { last: text(heads, "last-event-id").map(|t| t.to_string()), ..Keys::default() };
+    fn read_params(
+        &self,
+        heads: &HeaderMap,
+        _body: &[u8],
+        _assistant: bool,
+    ) -> Result<RequestParams, &'static str> {
+        let mut out = RequestParams {
+            last: text(heads, "last-event-id").map(|t| t.to_string()),
+            ..RequestParams::default()
+        };
         if let Some(ms) = text(heads, "x-deadline-ms") {
             let Some(ms) = ms.parse::<f64>().ok().filter(|n| n.is_finite()) else {
                 return Err("X-Deadline-Ms is no number of milliseconds; send one");
@@ -57,15 +65,15 @@
         Ok(out)
     }
 
-    fn retry(&self, wait: Span) -> String {
+    fn retry_after(&self, wait: Span) -> String {
         format!("{:.2}", (wait.0.max(50_000)) as f64 / 1e6)
     }
 
-    fn bounds_whole(&self) -> bool {
+    fn deadline_covers_body(&self) -> bool {
         true
     }
 
-    fn start_by(&self, left: Span, route: &Route) -> Span {
+    fn max_wait(&self, left: Span, route: &Route) -> Span {
         let silence = Span::ms(SILENCE_MS.max(route.aim_ms * 4).max(route.gap_ms * 8));
         let most = if route.kind == RouteKind::Stream { left.min(silence) } else { left };
         Span(most.0 * 45 / 100)
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -6,7 +6,7 @@
 use crate::json::Tree;
 use crate::kernel::fault::{Fault, Kind};
 use crate::kernel::ids::Name;
-use crate::seam::adapter_name;
+use crate::protocol::adapter_name;
 use std::collections::BTreeSet;
 
 const RANKS: [Class; 4] = [Class::Counter, Class::Chat, Class::Normal, Class::Bulk];
--- a/src/platform/list.rs
+++ b/src/platform/list.rs
@@ -1,8 +1,8 @@
 use crate::fleet::runner::Runner;
 use crate::json::Tree;
 use crate::kernel::ids::Name;
+use crate::protocol::{Call, RunnerListProtocol};
 use crate::runner_list::timing::ListTiming;
-use crate::seam::{Call, RunnerList};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -37,7 +37,7 @@
     out
 }
 
-impl RunnerList for Instances {
+impl RunnerListProtocol for Instances {
     fn addr(&self) -> SocketAddr {
         self.addr
     }
--- a/src/platform/operator.rs
+++ b/src/platform/operator.rs
@@ -7,7 +7,7 @@
 use crate::kernel::fault::Fault;
 use crate::kernel::ids::{ChangeId, DocumentDigest};
 use crate::msg::{Answer, Event, Op};
-use crate::seam::{OperatorSide, Wish};
+use crate::protocol::{OperatorProtocol, OperatorRequest};
 
 /// What the settings say of every configuration: the rules' own figures.
 #[derive(Clone, Debug, Default)]
@@ -49,32 +49,46 @@
 
 const CONFIG: &str = "/spindledock/config";
 
-impl OperatorSide for Operator {
+impl OperatorProtocol for Operator {
     fn id(&self, method: &str, base: Option<&str>, text: &str) -> ChangeId {
         let base = Precondition::read(base).key();
         let parts = [method.as_bytes(), base.as_bytes(), text.as_bytes()];
         ChangeId::of_document(DocumentDigest::of(&parts))
     }
 
-    fn wish(&self, id: ChangeId, method: &str, path: &str, base: Option<&str>, text: &str) -> Option<Wish> {
+    fn read_request(
+        &self,
+        id: ChangeId,
+        method: &str,
+        path: &str,
+        base: Option<&str>,
+        text: &str,
+    ) -> Option<OperatorRequest> {
         if path == "/spindledock/ready" && method == "GET" {
-            return Some(Wish::Ready);
+            return Some(OperatorRequest::Ready);
         }
         if path != CONFIG {
             return None;
         }
         if method == "GET" {
-            return Some(Wish::Event(Box::new(Event::Ask { id, path: "source".into() })));
+            return Some(OperatorRequest::Event(Box::new(Event::Ask { id, path: "source".into() })));
         }
         if method != "PUT" && method != "PATCH" {
-            return Some(Wish::Bad(Answer::new(405, "bad-order", "GET, PUT or PATCH the configuration", 0)));
+            return Some(OperatorRequest::Bad(Answer::new(
+                405,
+                "bad-order",
+                "GET, PUT or PATCH the configuration",
+                0,
+            )));
         }
         let base = match Precondition::read(base).revision() {
             Ok(base) => base,
-            Err(why) => return Some(Wish::Bad(Answer::new(412, "stale-base", &why.to_string(), 0))),
+            Err(why) => {
+                return Some(OperatorRequest::Bad(Answer::new(412, "stale-base", &why.to_string(), 0)));
+            }
         };
         let op = Op::Foreign { base, part: method == "PATCH", text: text.to_string() };
-        Some(Wish::Event(Box::new(Event::Op { id, op })))
+        Some(OperatorRequest::Event(Box::new(Event::Op { id, op })))
     }
 
     fn status(&self, answer: &Answer) -> u16 {
--- a/src/platform/runner.rs
+++ b/src/platform/runner.rs
@@ -5,7 +5,7 @@
 use crate::kernel::ids::Name;
 use crate::kernel::time::Span;
 use crate::msg::RunnerOrder;
-use crate::seam::{Call, Load, RunnerSide, Verdict, adapter_name, tenant_value};
+use crate::protocol::{Call, Load, ResponseOrigin, RunnerProtocol, adapter_name, tenant_value};
 use crate::transfer::continuation::RunContract;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -57,8 +57,15 @@
     out
 }
 
-impl RunnerSide for RunnerWords {
-    fn dress(&self, heads: &mut HeaderMap, runner: &Runner, order: &Order, last: Option<&str>, left: Span) {
+impl RunnerProtocol for RunnerWords {
+    fn add_request_headers(
+        &self,
+        heads: &mut HeaderMap,
+        runner: &Runner,
+        order: &Order,
+        last: Option<&str>,
+        left: Span,
+    ) {
         put(heads, "x-target-instance", &runner.instance.0);
         put(heads, "x-deadline-ms", &left.as_ms().max(1).to_string());
         if let Some(id) = last {
@@ -73,29 +80,29 @@
         }
     }
 
-    fn judge(&self, sent: &HeaderMap, status: u16, heads: &HeaderMap) -> Verdict {
-        let other = !self.echoes(sent, heads);
+    fn classify_response(&self, sent: &HeaderMap, status: u16, heads: &HeaderMap) -> ResponseOrigin {
+        let other = !self.may_answer(sent, heads);
         if status == 421 && !(other && heads.contains_key(ID)) {
-            return Verdict::NotMine;
+            return ResponseOrigin::Misdirected;
         }
         if other {
-            return Verdict::Stray;
+            return ResponseOrigin::Stray;
         }
         if heads.contains_key("x-not-executed") {
-            return Verdict::NotRun;
+            return ResponseOrigin::NotExecuted;
         }
         // Without the runner's word these statuses would promise what isn't known.
         if matches!(status, 408 | 429 | 503) {
-            return Verdict::Stray;
+            return ResponseOrigin::Stray;
         }
         let bare = !heads.contains_key("x-server-seal") || heads.contains_key("content-encoding");
         if (200..300).contains(&status) && bare {
-            return Verdict::Stray;
+            return ResponseOrigin::Stray;
         }
-        Verdict::Own
+        ResponseOrigin::Own
     }
 
-    fn echoes(&self, sent: &HeaderMap, heads: &HeaderMap) -> bool {
+    fn may_answer(&self, sent: &HeaderMap, heads: &HeaderMap) -> bool {
         let mut ids = heads.get_all(ID).iter();
         match (sent.get(ID), ids.next()) {
             (Some(id), Some(echo)) => id == echo && ids.next().is_none(),
@@ -116,7 +123,7 @@
         RunContract::SameIds
     }
 
-    fn plain_reports(&self) -> bool {
+    fn plain_services_report(&self) -> bool {
         false
     }
 
@@ -139,7 +146,7 @@
         })
     }
 
-    fn drive(&self, o: &RunnerOrder) -> Call {
+    fn order_request(&self, o: &RunnerOrder) -> Call {
         let opcode = if o.load { "install" } else { "uninstall" };
         let (model, adapter) = match o.name.0.split_once('/') {
             Some((m, a)) if o.adapter => (m, Some(a)),
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -9,8 +9,8 @@
 use crate::kernel::ids::Name;
 use crate::kernel::time::Span;
 use crate::msg::Role;
+use crate::protocol::Protocols;
 use crate::runner_list::timing::ListTiming;
-use crate::seam::Sides;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -152,7 +152,7 @@
     let pause = Duration::from_millis(lag.clamp(500, 1000));
     let list = Instances { addr: cloud, pause, timing: ListTiming { drain } };
     let figures = Figures { budget, origin };
-    let sides = Sides {
+    let protocols = Protocols {
         caller: Arc::new(Caller),
         runner: Arc::new(RunnerWords { node }),
         list: Some(Arc::new(list)),
@@ -173,7 +173,7 @@
         proof_ms,
         lease_ms: proof_ms + acknowledgement_wait(acknowledged_within),
         lame_ms: if role == Role::Router { LAME_MS } else { 0 },
-        sides,
+        protocols,
         quota,
         lean: true,
     })
--- a/src/seam.rs
+++ b/src/protocol.rs
@@ -22,7 +22,7 @@
 
 /// What a caller's order asks for, read from its head or body.
 #[derive(Clone, Debug, Default)]
-pub struct Keys {
+pub struct RequestParams {
     pub model: CompactString,
     pub adapter: CompactString,
     pub prefix: CompactString,
@@ -33,26 +33,31 @@
 }
 
 /// How callers speak. `Err` holds a text that names the remedy.
-pub trait CallerSide: Send + Sync {
+pub trait CallerProtocol: Send + Sync {
     /// The key that a request carries, if any; it is taken out of the headers, so that no runner gets it.
-    fn take_key(&self, heads: &mut HeaderMap) -> Option<KeyDigest>;
-    fn keys(&self, heads: &HeaderMap, body: &[u8], assistant: bool) -> Result<Keys, &'static str>;
+    fn take_api_key(&self, heads: &mut HeaderMap) -> Option<KeyDigest>;
+    fn read_params(
+        &self,
+        heads: &HeaderMap,
+        body: &[u8],
+        assistant: bool,
+    ) -> Result<RequestParams, &'static str>;
     /// The text of `Retry-After` for a wait.
-    fn retry(&self, wait: Span) -> String;
+    fn retry_after(&self, wait: Span) -> String;
     /// Of the time that is left, how long an order may wait for a runner before it is refused.
-    fn start_by(&self, left: Span, route: &Route) -> Span;
+    fn max_wait(&self, left: Span, route: &Route) -> Span;
     /// Whether a route's time bounds the whole of an answer; else it bounds only its start.
-    fn bounds_whole(&self) -> bool {
+    fn deadline_covers_body(&self) -> bool {
         false
     }
 }
 
 /// What a runner's head of answer says of the order that was sent.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Verdict {
+pub enum ResponseOrigin {
     Own,
-    NotRun,
-    NotMine,
+    NotExecuted,
+    Misdirected,
     Stray,
 }
 
@@ -65,12 +70,19 @@
 }
 
 /// How runners speak.
-pub trait RunnerSide: Send + Sync {
+pub trait RunnerProtocol: Send + Sync {
     /// Adds what a runner needs to know to the head; `left` is the time until the order's due.
-    fn dress(&self, heads: &mut HeaderMap, runner: &Runner, order: &Order, last: Option<&str>, left: Span);
-    fn judge(&self, sent: &HeaderMap, status: u16, heads: &HeaderMap) -> Verdict;
+    fn add_request_headers(
+        &self,
+        heads: &mut HeaderMap,
+        runner: &Runner,
+        order: &Order,
+        last: Option<&str>,
+        left: Span,
+    );
+    fn classify_response(&self, sent: &HeaderMap, status: u16, heads: &HeaderMap) -> ResponseOrigin;
     /// Whether an answer with these headers may be one to a request with the headers `sent`, by its id alone.
-    fn echoes(&self, _sent: &HeaderMap, _heads: &HeaderMap) -> bool {
+    fn may_answer(&self, _sent: &HeaderMap, _heads: &HeaderMap) -> bool {
         true
     }
     fn load(&self, heads: &HeaderMap) -> Option<Load>;
@@ -79,14 +91,14 @@
         RunContract::SameEvents
     }
     /// Whether runners of plain services report too.
-    fn plain_reports(&self) -> bool;
+    fn plain_services_report(&self) -> bool;
     fn report(&self, runner: &Runner) -> Call;
     fn read_report(&self, runner: &Runner, body: &[u8]) -> Option<Report>;
-    fn drive(&self, order: &RunnerOrder) -> Call;
+    fn order_request(&self, order: &RunnerOrder) -> Call;
 }
 
 /// Where the list of runners is asked for, if this node asks.
-pub trait RunnerList: Send + Sync {
+pub trait RunnerListProtocol: Send + Sync {
     fn addr(&self) -> SocketAddr;
     fn pause(&self) -> std::time::Duration;
     /// How old what is known of the list may become.
@@ -97,15 +109,22 @@
 }
 
 /// What an operator's call asks of this node.
-pub enum Wish {
+pub enum OperatorRequest {
     Ready,
     Event(Box<Event>),
     Bad(Answer),
 }
 
 /// How operators speak, and how they write their configurations.
-pub trait OperatorSide: Send + Sync {
-    fn wish(&self, id: ChangeId, method: &str, path: &str, base: Option<&str>, text: &str) -> Option<Wish>;
+pub trait OperatorProtocol: Send + Sync {
+    fn read_request(
+        &self,
+        id: ChangeId,
+        method: &str,
+        path: &str,
+        base: Option<&str>,
+        text: &str,
+    ) -> Option<OperatorRequest>;
     /// The id under which a call that is sent again is known: of method, base and text, collision-resistant.
     fn id(&self, method: &str, base: Option<&str>, text: &str) -> ChangeId;
     fn status(&self, answer: &Answer) -> u16;
@@ -126,20 +145,20 @@
 }
 
 #[derive(Clone)]
-pub struct Sides {
-    pub caller: Arc<dyn CallerSide>,
-    pub runner: Arc<dyn RunnerSide>,
-    pub list: Option<Arc<dyn RunnerList>>,
-    pub operator: Option<Arc<dyn OperatorSide>>,
+pub struct Protocols {
+    pub caller: Arc<dyn CallerProtocol>,
+    pub runner: Arc<dyn RunnerProtocol>,
+    pub list: Option<Arc<dyn RunnerListProtocol>>,
+    pub operator: Option<Arc<dyn OperatorProtocol>>,
 }
 
-impl Default for Sides {
-    fn default() -> Sides {
-        Sides { caller: Arc::new(OwnCaller), runner: Arc::new(OwnRunner), list: None, operator: None }
+impl Default for Protocols {
+    fn default() -> Protocols {
+        Protocols { caller: Arc::new(OwnCaller), runner: Arc::new(OwnRunner), list: None, operator: None }
     }
 }
 
-impl std::fmt::Debug for Sides {
+impl std::fmt::Debug for Protocols {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "Sides(list={} operator={})", self.list.is_some(), self.operator.is_some())
     }
--- a/src/sim/setup.rs
+++ b/src/sim/setup.rs
@@ -39,7 +39,7 @@
                 lease: SERVING_LEASE,
                 policy: plan.policy,
                 list: None,
-                sides: Default::default(),
+                protocols: Default::default(),
                 quota: Default::default(),
             };
             let node = SimNode::new(place, role, &mut w.rand);
--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -7,7 +7,7 @@
 use crate::json::Tree;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{BootClock, Clock, Time};
-use crate::seam::Verdict;
+use crate::protocol::ResponseOrigin;
 use crate::sim::record::Fact;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -128,7 +128,7 @@
 }
 
 async fn send(ready: Ready, request: Request<Full<Bytes>>) -> Result<Answer, SendError> {
-    match ready.send(request, open()).await?.judge(|_, _| Verdict::Own) {
+    match ready.send(request, open()).await?.judge(|_, _| ResponseOrigin::Own) {
         Judged::Own(answer) => Ok(answer),
         _ => Err(SendError::Unsure),
     }
--- a/tests/common/adopt.rs
+++ b/tests/common/adopt.rs
@@ -9,7 +9,7 @@
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::Deployment;
 use spindledock::msg::{Answer, Event, Op};
-use spindledock::seam::{OperatorSide, Wish};
+use spindledock::protocol::{OperatorProtocol, OperatorRequest};
 use spindledock::sim::World;
 use spindledock::sim::record::Fact;
 use std::collections::BTreeMap;
@@ -18,8 +18,15 @@
 /// An operator's own format: a revision, then the names of routes; a part adds `+name` or drops `-name`.
 pub struct Lines;
 
-impl OperatorSide for Lines {
-    fn wish(&self, _: ChangeId, _: &str, _: &str, _: Option<&str>, _: &str) -> Option<Wish> {
+impl OperatorProtocol for Lines {
+    fn read_request(
+        &self,
+        _: ChangeId,
+        _: &str,
+        _: &str,
+        _: Option<&str>,
+        _: &str,
+    ) -> Option<OperatorRequest> {
         None
     }
 
@@ -84,7 +91,7 @@
         let mut w = World::build(plan, seed);
         for n in &mut w.nodes {
             n.place.bear = bear;
-            n.place.sides.operator = Some(Arc::new(Lines));
+            n.place.protocols.operator = Some(Arc::new(Lines));
         }
         w.start_all();
         let core = w.controllers();
--- a/tests/platform_connection.rs
+++ b/tests/platform_connection.rs
@@ -5,7 +5,7 @@
 use spindledock::http::connection::{Ready, Resting, SendError};
 use spindledock::http::exchange::{Answer, Judged};
 use spindledock::http::pool::open;
-use spindledock::seam::Verdict;
+use spindledock::protocol::ResponseOrigin;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -72,7 +72,7 @@
     });
     let exchange = ready.send(request(body), open()).await.expect("an answer");
     peer.done.recv_timeout(LONG).expect("said");
-    let Judged::Own(answer) = exchange.judge(|_, _| Verdict::Own) else { panic!("an answer") };
+    let Judged::Own(answer) = exchange.judge(|_, _| ResponseOrigin::Own) else { panic!("an answer") };
     answer
 }
 
@@ -232,7 +232,7 @@
             tcp.write_all(text.as_bytes()).expect("said");
         });
         if let Ok(exchange) = ready.send(request(vec![]), open()).await {
-            assert!(matches!(exchange.judge(|_, _| Verdict::Own), Judged::Stray), "{text}");
+            assert!(matches!(exchange.judge(|_, _| ResponseOrigin::Own), Judged::Stray), "{text}");
         }
     }
 }
--- a/tests/platform_given/mod.rs
+++ b/tests/platform_given/mod.rs
@@ -3,7 +3,7 @@
 use spindledock::fleet::FleetConfig;
 use spindledock::kernel::fault::Fault;
 use spindledock::platform::operator::{Figures, Operator};
-use spindledock::seam::OperatorSide;
+use spindledock::protocol::OperatorProtocol;
 
 pub const ROUTER: &str = r#"
 NodeName: "edge-a-1"
--- a/tests/platform_given/road.rs
+++ b/tests/platform_given/road.rs
@@ -12,7 +12,7 @@
 use spindledock::kernel::time::{Clock, Span, Time};
 use spindledock::platform::caller::Caller;
 use spindledock::platform::runner::RunnerWords;
-use spindledock::seam::Sides;
+use spindledock::protocol::Protocols;
 use spindledock::standin::raw::{Heard, RawRunners, Script, Step, own_loopback};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -80,7 +80,7 @@
             open: AtomicU64::new(0),
             seen: Default::default(),
             clients: ClientConnections::new(clock.clone()),
-            sides: Sides { caller, runner: words, list: None, operator: None },
+            protocols: Protocols { caller, runner: words, list: None, operator: None },
         });
         let socket = TcpListener::bind((own_loopback(), 0)).await.expect("a free port");
         let addr = socket.local_addr().expect("an address");
--- a/tests/platform_precondition.rs
+++ b/tests/platform_precondition.rs
@@ -3,17 +3,17 @@
 use spindledock::kernel::ids::ChangeId;
 use spindledock::msg::{Answer, Event, Op};
 use spindledock::platform::operator::{Figures, Operator};
-use spindledock::seam::{OperatorSide, Wish};
+use spindledock::protocol::{OperatorProtocol, OperatorRequest};
 
 /// The base that a call states, or the status that it gets at once.
 fn base(value: Option<&str>) -> Result<Option<u64>, u16> {
     let side = Operator { figures: Figures::default() };
-    match side.wish(ChangeId::default(), "PUT", "/spindledock/config", value, "{}") {
-        Some(Wish::Event(event)) => match *event {
+    match side.read_request(ChangeId::default(), "PUT", "/spindledock/config", value, "{}") {
+        Some(OperatorRequest::Event(event)) => match *event {
             Event::Op { op: Op::Foreign { base, .. }, .. } => Ok(base),
             other => panic!("{other:?}"),
         },
-        Some(Wish::Bad(answer)) => Err(side.status(&answer)),
+        Some(OperatorRequest::Bad(answer)) => Err(side.status(&answer)),
         _ => panic!("no wish"),
     }
 }
--- a/tests/platform_words.rs
+++ b/tests/platform_words.rs
@@ -12,7 +12,7 @@
 use spindledock::platform::caller::Caller;
 use spindledock::platform::list::Instances;
 use spindledock::platform::runner::RunnerWords;
-use spindledock::seam::{Call, CallerSide, Load, RunnerList, RunnerSide, Verdict};
+use spindledock::protocol::{Call, CallerProtocol, Load, ResponseOrigin, RunnerListProtocol, RunnerProtocol};
 
 fn heads(rows: &[(&str, &str)]) -> HeaderMap {
     let mut out = HeaderMap::new();
@@ -57,27 +57,27 @@
         ("x-deadline-ms", "1500"),
         ("last-event-id", "12"),
     ]);
-    let k = Caller.keys(&h, b"anything", true).expect("good heads");
+    let k = Caller.read_params(&h, b"anything", true).expect("good heads");
     assert_eq!((k.model.as_str(), k.adapter.as_str()), ("daka51", "daka51/a3"));
     assert_eq!((k.size.prompt, k.size.out), (1460, 80));
     assert_eq!(*k.parts, [(0x5c1e07a2, 800), (0x91bd3f06, 410), (0xe4402b7d, 250)]);
     assert_eq!((k.due, k.last.as_deref()), (Some(Span::ms(1500)), Some("12")));
-    let bare = Caller.keys(&HeaderMap::new(), b"", false).expect("no heads are no fault");
+    let bare = Caller.read_params(&HeaderMap::new(), b"", false).expect("no heads are no fault");
     assert!(bare.model.is_empty() && bare.due.is_none() && bare.parts.is_empty() && bare.last.is_none());
 }
 
 #[test]
 fn given_odd_callers_heads_when_read_then_a_due_that_is_no_number_is_refused_and_hints_are_passed_over() {
     for text in ["soon", "", "1 500", "0x10", "NaN", "inf"] {
-        let told = Caller.keys(&heads(&[("x-deadline-ms", text)]), b"", false);
+        let told = Caller.read_params(&heads(&[("x-deadline-ms", text)]), b"", false);
         assert!(told.is_err_and(|why| why.contains("milliseconds")), "{text:?}");
     }
     for (text, ms) in [("0", 0), ("-4", 0), (" 12 ", 12), ("2.5", 2), ("1e3", 1000)] {
-        let k = Caller.keys(&heads(&[("x-deadline-ms", text)]), b"", false).expect("a number");
+        let k = Caller.read_params(&heads(&[("x-deadline-ms", text)]), b"", false).expect("a number");
         assert_eq!(k.due.map(Span::as_ms), Some(ms), "{text:?}");
     }
     for rows in ["zz:4", "5c", "5c:x", "5c:4;6d:3", "5c:-1", ":", "\u{e9}:1"] {
-        let k = Caller.keys(&heads(&[("x-prompt-prefix", rows), ("x-token-count", rows)]), b"", true);
+        let k = Caller.read_params(&heads(&[("x-prompt-prefix", rows), ("x-token-count", rows)]), b"", true);
         let k = k.expect("a hint is no fault");
         assert!(k.parts.is_empty() && k.size == Default::default(), "{rows:?}");
     }
@@ -86,13 +86,13 @@
 #[test]
 fn given_a_wait_when_a_caller_is_refused_then_the_text_is_seconds_with_fractions_and_never_none() {
     for (ms, want) in [(0, "0.05"), (300, "0.30"), (1250, "1.25"), (12_000, "12.00")] {
-        assert_eq!(Caller.retry(Span::ms(ms)), want);
+        assert_eq!(Caller.retry_after(Span::ms(ms)), want);
     }
     let row = &route_rows(&platform_given::whole(platform_given::WHOLE).expect("good"))[0].route;
     let route = |kind| Route { kind, aim_ms: 100, gap_ms: 100, ..row.clone() };
     let left = Span::ms(60_000);
-    assert!(Caller.start_by(left, &route(RouteKind::Stream)) < Span::ms(2000));
-    assert!(Caller.start_by(left, &route(RouteKind::Once)) < left);
+    assert!(Caller.max_wait(left, &route(RouteKind::Stream)) < Span::ms(2000));
+    assert!(Caller.max_wait(left, &route(RouteKind::Once)) < left);
 }
 
 #[test]
@@ -101,29 +101,32 @@
     let own = ("x-request-id", "9c");
     let seal = ("x-server-seal", "3e1b");
     for (status, rows, want) in [
-        (200, vec![own, seal], Verdict::Own),
-        (200, vec![own], Verdict::Stray),
-        (204, vec![own], Verdict::Stray),
-        (200, vec![own, seal, ("content-encoding", "gzip")], Verdict::Stray),
-        (200, vec![("x-request-id", "9d"), seal], Verdict::Stray),
-        (200, vec![seal], Verdict::Stray),
-        (500, vec![own], Verdict::Own),
-        (504, vec![own, seal], Verdict::Own),
-        (503, vec![own], Verdict::Stray),
-        (429, vec![own, seal], Verdict::Stray),
-        (503, vec![own, ("x-not-executed", "1")], Verdict::NotRun),
-        (429, vec![own, ("x-not-executed", "1")], Verdict::NotRun),
-        (503, vec![("x-request-id", "9d"), ("x-not-executed", "1")], Verdict::Stray),
-        (421, vec![own, ("x-not-executed", "1")], Verdict::NotMine),
-        (421, vec![own], Verdict::NotMine),
-        (421, vec![], Verdict::NotMine),
-        (421, vec![("x-request-id", "9d"), ("x-not-executed", "1")], Verdict::Stray),
+        (200, vec![own, seal], ResponseOrigin::Own),
+        (200, vec![own], ResponseOrigin::Stray),
+        (204, vec![own], ResponseOrigin::Stray),
+        (200, vec![own, seal, ("content-encoding", "gzip")], ResponseOrigin::Stray),
+        (200, vec![("x-request-id", "9d"), seal], ResponseOrigin::Stray),
+        (200, vec![seal], ResponseOrigin::Stray),
+        (500, vec![own], ResponseOrigin::Own),
+        (504, vec![own, seal], ResponseOrigin::Own),
+        (503, vec![own], ResponseOrigin::Stray),
+        (429, vec![own, seal], ResponseOrigin::Stray),
+        (503, vec![own, ("x-not-executed", "1")], ResponseOrigin::NotExecuted),
+        (429, vec![own, ("x-not-executed", "1")], ResponseOrigin::NotExecuted),
+        (503, vec![("x-request-id", "9d"), ("x-not-executed", "1")], ResponseOrigin::Stray),
+        (421, vec![own, ("x-not-executed", "1")], ResponseOrigin::Misdirected),
+        (421, vec![own], ResponseOrigin::Misdirected),
+        (421, vec![], ResponseOrigin::Misdirected),
+        (421, vec![("x-request-id", "9d"), ("x-not-executed", "1")], ResponseOrigin::Stray),
     ] {
-        assert_eq!(words().judge(&sent, status, &heads(&rows)), want, "{status} {rows:?}");
+        assert_eq!(words().classify_response(&sent, status, &heads(&rows)), want, "{status} {rows:?}");
     }
     let none = HeaderMap::new();
-    assert_eq!(words().judge(&none, 400, &heads(&[("x-not-executed", "1")])), Verdict::NotRun);
-    assert_eq!(words().judge(&none, 200, &heads(&[seal])), Verdict::Own);
+    assert_eq!(
+        words().classify_response(&none, 400, &heads(&[("x-not-executed", "1")])),
+        ResponseOrigin::NotExecuted
+    );
+    assert_eq!(words().classify_response(&none, 200, &heads(&[seal])), ResponseOrigin::Own);
 }
 
 #[test]
@@ -140,7 +143,7 @@
 fn given_an_order_when_it_is_dressed_then_runner_time_left_place_and_class_are_told() {
     let order = Order { model: "daka51".into(), class: Class::Chat, ..Order::default() };
     let mut h = heads(&[("x-deadline-ms", "9000"), ("x-request-id", "9c"), ("last-event-id", "2")]);
-    words().dress(&mut h, &runner(), &order, Some("31"), Span::ms(1234));
+    words().add_request_headers(&mut h, &runner(), &order, Some("31"), Span::ms(1234));
     let told: Vec<&str> = ["x-target-instance", "x-deadline-ms", "last-event-id", "x-priority-class"]
         .iter()
         .map(|k| h.get(*k).and_then(|v| v.to_str().ok()).unwrap_or(""))
@@ -148,7 +151,7 @@
     assert_eq!(told, ["i-7f", "1234", "31", "1"]);
     assert_eq!((h.get("x-request-id"), h.len()), (Some(&HeaderValue::from_static("9c")), 5));
     let mut h = HeaderMap::new();
-    words().dress(&mut h, &runner(), &Order::default(), None, Span(0));
+    words().add_request_headers(&mut h, &runner(), &Order::default(), None, Span(0));
     assert_eq!((h.len(), h.get("x-deadline-ms")), (2, Some(&HeaderValue::from_static("1"))));
 }
 
@@ -226,14 +229,14 @@
         expected: 3,
         due: Time(0),
     };
-    let call = words().drive(&order(true, "daka51", false));
+    let call = words().order_request(&order(true, "daka51", false));
     assert_eq!((call.method().as_str(), call.uri().path()), ("POST", "/spindledock/order"));
     assert_eq!(head(&call, "x-target-instance"), "i-7f");
     let want = r#"{"Opcode":"install","Model":"daka51","Owner":"node-7","FenceToken":41,"ExpectedCount":3}"#;
     assert_eq!(body(call).to_string(), want);
     let want = r#"{"Opcode":"install","Model":"daka51","Adapter":"a3","Owner":"node-7","FenceToken":41,"ExpectedCount":3}"#;
-    assert_eq!(body(words().drive(&order(true, "daka51/a3", true))).to_string(), want);
+    assert_eq!(body(words().order_request(&order(true, "daka51/a3", true))).to_string(), want);
     let want =
         r#"{"Opcode":"uninstall","Model":"org/daka51","Owner":"node-7","FenceToken":41,"ExpectedCount":3}"#;
-    assert_eq!(body(words().drive(&order(false, "org/daka51", false))).to_string(), want);
+    assert_eq!(body(words().order_request(&order(false, "org/daka51", false))).to_string(), want);
 }
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -16,7 +16,7 @@
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
 use spindledock::msg::Op;
-use spindledock::seam::{CallerSide, RunnerSide};
+use spindledock::protocol::{CallerProtocol, RunnerProtocol};
 use spindledock::sim::World;
 use spindledock::sim::callers::SimFlow;
 use spindledock::sim::record::Fact;
@@ -175,7 +175,7 @@
     let mut heads = hyper::HeaderMap::new();
     heads.insert("x-spindledock-key", "k-1".parse().expect("a value"));
     heads.insert("x-spindledock-tenant", "other".parse().expect("a value"));
-    let key = OwnCaller.take_key(&mut heads);
+    let key = OwnCaller.take_api_key(&mut heads);
     assert_eq!(key, Some(KeyDigest::of(b"k-1")));
     let runner = spindledock::fleet::runner::Runner {
         instance: Name::from("i"),
@@ -184,7 +184,7 @@
         addr: "10.0.0.1:80".parse().expect("an address"),
         leaving: false,
     };
-    OwnRunner.dress(&mut heads, &runner, &order_at(1, &table, "k-1"), None, Span::ms(10));
+    OwnRunner.add_request_headers(&mut heads, &runner, &order_at(1, &table, "k-1"), None, Span::ms(10));
     assert_eq!(heads.get("x-spindledock-tenant").and_then(|v| v.to_str().ok()), Some("one"));
     assert!(heads.get("x-spindledock-key").is_none());
 }
