--- a/src/chain/acceptor.rs
+++ b/src/chain/acceptor.rs
@@ -131,7 +131,7 @@
             ctx.chain(from, ChainMsg::ViewDecided { view });
             return false;
         }
-        no == view.no.next() && view.voters.contains(&self.ident) && ctx.room >= ROOM_TO_WRITE
+        no == view.no.next() && view.voters.contains(&self.ident) && ctx.free_disk_bytes >= ROOM_TO_WRITE
     }
 
     /// Whether the member named lost is so for this voter too: unheard here, or by the proposer for long.
--- a/src/chain/adoption.rs
+++ b/src/chain/adoption.rs
@@ -29,8 +29,8 @@
 
 impl ChangeQueue {
     /// Queues an order in the operator's own format.
-    pub(super) fn queue_adoption(&mut self, id: ChangeId, op: &Op, ctx: &mut Context) {
-        let Op::Foreign { base, part, text } = op else { return };
+    pub(super) fn queue_adoption(&mut self, id: ChangeId, op: &OperatorCall, ctx: &mut Context) {
+        let OperatorCall::PlatformConfig { base, part, text } = op else { return };
         if self.adoptions.side.is_none() {
             let text = "this node takes configurations in the product's own format only";
             return self.end(id, Answer::new(400, "bad-order", text, 0), ctx);
--- a/src/chain/adoption_queue.rs
+++ b/src/chain/adoption_queue.rs
@@ -53,7 +53,7 @@
     pub(super) side: Option<Arc<dyn OperatorProtocol>>,
     pub(super) orders: Vec<WaitingOrder>,
     pub(super) under_way: Option<UnderWay>,
-    live: BTreeMap<NodeId, (Time, Vec<LiveRoute>)>,
+    live: BTreeMap<NodeId, (Time, Vec<RouteTraffic>)>,
 }
 
 impl AdoptionQueue {
@@ -79,7 +79,7 @@
     }
 
     /// Keeps a router's account of the routes that it used lately.
-    pub fn note_live(&mut self, from: NodeId, now: Time, tell: &RouterTell) {
+    pub fn note_live(&mut self, from: NodeId, now: Time, tell: &RouterReport) {
         if self.side.is_some() && !tell.live.is_empty() {
             self.live.insert(from, (now, tell.live.clone()));
         }
--- a/src/chain/change_queue.rs
+++ b/src/chain/change_queue.rs
@@ -26,7 +26,7 @@
 /// The changes that wait at the head, and the nodes that wait for their ends.
 #[derive(Clone, Default)]
 pub struct ChangeQueue {
-    pub(super) inbox: VecDeque<(ChangeId, Op)>,
+    pub(super) inbox: VecDeque<(ChangeId, OperatorCall)>,
     /// Who waits for the end of a change, and under which attempt.
     callers: BTreeMap<ChangeId, (NodeId, u64)>,
     submitted: BTreeMap<ChangeId, Time>,
@@ -46,28 +46,37 @@
     }
 
     /// Decides on an order. The head's state was proven to be current after the order arrived (`read_index`).
-    pub(super) fn decide(&mut self, from: NodeId, id: ChangeId, attempt: u64, op: &Op, ctx: &mut Context) {
+    pub(super) fn decide(
+        &mut self,
+        from: NodeId,
+        id: ChangeId,
+        attempt: u64,
+        op: &OperatorCall,
+        ctx: &mut Context,
+    ) {
         self.callers.insert(id, (from, attempt));
         if ctx.views.state.decision(id).is_some() {
             if self.answer_if_decided(id, ctx) {
                 return;
             }
-            return ctx.send(from, Msg::OpPending { id, attempt });
+            return ctx.send(from, Msg::CallPending { id, attempt });
         }
         if self.is_under_way(id, ctx) {
-            return ctx.send(from, Msg::OpPending { id, attempt });
+            return ctx.send(from, Msg::CallPending { id, attempt });
         }
         if let Some(answer) = cannot_write(ctx) {
             return self.end(id, answer, ctx);
         }
         match op {
-            Op::Foreign { .. } => self.queue_adoption(id, op, ctx),
-            Op::Whole { .. } | Op::Part { .. } => self.queue_own(id, op, ctx),
+            OperatorCall::PlatformConfig { .. } => self.queue_adoption(id, op, ctx),
+            OperatorCall::ReplaceConfig { .. } | OperatorCall::PatchConfig { .. } => {
+                self.queue_own(id, op, ctx)
+            }
             _ => self.take(id, op.clone(), ctx),
         }
     }
 
-    fn queue_own(&mut self, id: ChangeId, op: &Op, ctx: &mut Context) {
+    fn queue_own(&mut self, id: ChangeId, op: &OperatorCall, ctx: &mut Context) {
         if self.inbox.len() >= QUEUE_CAPACITY {
             return self.end(id, queue_full(), ctx);
         }
@@ -76,7 +85,7 @@
     }
 
     fn is_under_way(&self, id: ChangeId, ctx: &Context) -> bool {
-        ctx.views.state.trial.as_ref().is_some_and(|candidate| candidate.id == id)
+        ctx.views.state.candidate.as_ref().is_some_and(|candidate| candidate.id == id)
             || self.inbox.iter().any(|row| row.0 == id)
             || self.adoptions.holds(id)
             || self.submitted.get(&id).is_some_and(|since| ctx.now.since(*since) < RESUBMIT_AFTER)
@@ -97,11 +106,11 @@
     pub(super) fn end(&mut self, id: ChangeId, answer: Answer, ctx: &mut Context) {
         self.submitted.remove(&id);
         if let Some((caller, attempt)) = self.callers.remove(&id) {
-            ctx.send(caller, Msg::OpEnd { id, attempt, answer });
+            ctx.send(caller, Msg::CallAnswer { id, attempt, answer });
         }
     }
 
-    fn note_leaving(&mut self, tell: &RouterTell, ctx: &mut Context) {
+    fn note_leaving(&mut self, tell: &RouterReport, ctx: &mut Context) {
         if !ctx.views.role.head || !ctx.views.role.ready || ctx.views.role.copies < ctx.views.role.need {
             return;
         }
@@ -131,7 +140,7 @@
         let state = &ctx.views.state;
         self.submitted.retain(|id, since| {
             state.decision(*id).is_none()
-                && state.trial.as_ref().is_none_or(|candidate| candidate.id != *id)
+                && state.candidate.as_ref().is_none_or(|candidate| candidate.id != *id)
                 && ctx.now.since(*since) < RESUBMIT_AFTER
         });
         if ctx.views.role.head {
@@ -154,7 +163,7 @@
 
 /// Why nothing can be written now. It says nothing of the change itself: an earlier try may have been taken.
 fn cannot_write(ctx: &Context) -> Option<Answer> {
-    if ctx.room < ROOM && !ctx.views.role.spare {
+    if ctx.free_disk_bytes < ROOM && !ctx.views.role.spare {
         let text = "the head's disk is nearly full and nothing was written; free room there";
         return Some(Answer::new(507, "disk-full", text, 5));
     }
@@ -182,16 +191,16 @@
 
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         match ev {
-            Event::Mail { from, msg, .. } => match msg {
-                Msg::Op { id, attempt, op } => self.received(*from, *id, *attempt, op, ctx),
-                Msg::Ask { attempt, path } => self.ask(*from, *attempt, path, ctx),
+            Event::Message { from, msg, .. } => match msg {
+                Msg::OperatorCall { id, attempt, op } => self.received(*from, *id, *attempt, op, ctx),
+                Msg::OperatorRead { attempt, path } => self.ask(*from, *attempt, path, ctx),
                 Msg::Chain(ChainMsg::ReadIndexRequest { view, sent }) => {
                     self.proof_requested(*view, *sent, ctx)
                 }
                 Msg::Chain(ChainMsg::ReadIndexReply { view, sent, committed }) => {
                     self.proof_given(*view, *sent, *committed, ctx)
                 }
-                Msg::Tell(tell) => {
+                Msg::RouterReport(tell) => {
                     self.adoptions.note_live(*from, ctx.now, tell);
                     self.note_leaving(tell, ctx);
                 }
--- a/src/chain/core.rs
+++ b/src/chain/core.rs
@@ -122,7 +122,7 @@
         }
         self.log.trim(self.committed);
         let rows = self.records(&ctx.views.state);
-        ctx.out.push(Effect::Rewrite(rows));
+        ctx.effects.push(Effect::Rewrite(rows));
     }
 
     fn mail(&mut self, from: NodeId, fleet: FleetId, msg: &ChainMsg, ctx: &mut Context) {
@@ -172,8 +172,8 @@
         match ev {
             Event::Start => self.start(ctx),
             Event::Tick => self.tick(ctx),
-            Event::Warned => self.begin_leaving(ctx),
-            Event::Mail { from, fleet, msg } => {
+            Event::StopAnnounced => self.begin_leaving(ctx),
+            Event::Message { from, fleet, msg } => {
                 self.adopt(*fleet, ctx);
                 if let Msg::Welcome { empty, .. } = msg {
                     self.founder.welcome(*from, *empty, ctx.now);
--- a/src/chain/founding.rs
+++ b/src/chain/founding.rs
@@ -74,29 +74,30 @@
             let got = self.founder.answers.get(&row.who.node);
             got.is_some_and(|(empty, at)| *empty && ctx.now.since(*at) < Span(STALE.0 * 3))
         };
-        (ctx.me.seed || !ctx.me.seeds.is_empty()) && ctx.me.seeds.iter().all(seen)
+        (ctx.me.is_seed || !ctx.me.seeds.is_empty()) && ctx.me.seeds.iter().all(seen)
     }
 
     fn members(&self, ctx: &Context) -> Option<Vec<NodeId>> {
         let me = ctx.me;
         let seed = |r: &Row| r.who.addr == me.addr || me.seeds.contains(&r.who.addr);
         let live = ctx.views.controllers().filter(|r| r.quiet < LIVE);
-        let mut all: Vec<(bool, NodeId)> = live.map(|r| (me.core == 0 && !seed(r), r.who.node)).collect();
+        let mut all: Vec<(bool, NodeId)> =
+            live.map(|r| (me.core_size == 0 && !seed(r), r.who.node)).collect();
         all.sort();
         let calm = ctx.now.since(self.founder.grown.max(me.started)) >= CALM;
         let whole = all.len() == ctx.views.controllers().count();
-        if me.core == 0 && !me.seed && !calm {
+        if me.core_size == 0 && !me.is_seed && !calm {
             return None;
         }
-        if all.len() < me.votes() && !(me.core == 0 && calm && whole) {
+        if all.len() < me.voter_count() && !(me.core_size == 0 && calm && whole) {
             return None;
         }
         let seeds = all.iter().filter(|r| !r.0).count();
-        all.truncate(if me.core > 0 { me.core } else { me.votes().max(seeds) });
+        all.truncate(if me.core_size > 0 { me.core_size } else { me.voter_count().max(seeds) });
         let mut all: Vec<NodeId> = all.into_iter().map(|r| r.1).collect();
         let rank = all.iter().position(|n| *n == self.ident)?;
         let turn = Span(TURN.0 * rank as u64);
-        if rank > 0 && (me.core > 0 || ctx.now.since(self.founder.grown.max(me.started)) < turn) {
+        if rank > 0 && (me.core_size > 0 || ctx.now.since(self.founder.grown.max(me.started)) < turn) {
             return None;
         }
         all.swap(0, rank);
@@ -111,7 +112,7 @@
         }
         self.founder.known = known;
         let begun = self.founder.pledge.as_ref().is_some_and(|p| p.0 != FleetId(0));
-        if !ctx.me.first && !begun {
+        if !ctx.me.may_found && !begun {
             return;
         }
         if self.fleet != FleetId(0) || ctx.now.since(self.founder.asked) < Span::ms(300) {
--- a/src/chain/heartbeat.rs
+++ b/src/chain/heartbeat.rs
@@ -63,7 +63,7 @@
     }
 
     fn heartbeat(&self, view: ViewNo, ctx: &Context) -> ChainMsg {
-        let (room, leaving) = (ctx.room >= ROOM, self.departure.is_some());
+        let (room, leaving) = (ctx.free_disk_bytes >= ROOM, self.departure.is_some());
         let impaired = self.isolated || !self.can_write(ctx);
         ChainMsg::Heartbeat { view, room, impaired, leaving }
     }
@@ -101,7 +101,7 @@
 
     /// Whether a vote or an entry of this node would be synced soon.
     pub fn can_write(&self, ctx: &Context) -> bool {
-        ctx.room >= ROOM_TO_WRITE && !ctx.stuck
+        ctx.free_disk_bytes >= ROOM_TO_WRITE && !ctx.is_write_stuck
     }
 
     /// For how long nothing was heard of `node`.
@@ -150,13 +150,13 @@
     /// Whether enough members hold all that is committed here, so that it may be acknowledged.
     pub fn safe(&self, ctx: &Context) -> bool {
         let copies = self.view.as_ref().map_or(0, |v| v.chain.len());
-        copies >= ctx.me.need() && self.lowest() >= self.committed
+        copies >= ctx.me.required_copies() && self.lowest() >= self.committed
     }
 
     /// Whether enough other members have room on their disks.
     pub fn spared(&self, ctx: &Context) -> bool {
         let Some(view) = &self.view else { return false };
         let fine = |n: &&NodeId| self.hears(**n, ctx.now) && self.peers.get(*n).is_some_and(|p| p.room);
-        view.chain.iter().filter(|n| **n != self.ident).filter(fine).count() >= ctx.me.need()
+        view.chain.iter().filter(|n| **n != self.ident).filter(fine).count() >= ctx.me.required_copies()
     }
 }
--- a/src/chain/installation.rs
+++ b/src/chain/installation.rs
@@ -58,7 +58,7 @@
             tail: self.is_tail(),
             ready: self.ready,
             copies: self.view.as_ref().map_or(0, |v| v.chain.len()),
-            need: ctx.me.need(),
+            need: ctx.me.required_copies(),
             safe: self.safe(ctx),
             spare: self.spared(ctx),
             until: if self.is_tail() && self.ready { self.lease.until } else { Time(0) },
@@ -71,7 +71,7 @@
         let fit = self.ready && self.in_chain() && settled;
         if fit != self.reported_ready {
             self.reported_ready = fit;
-            ctx.out.push(Effect::Ready(fit));
+            ctx.effects.push(Effect::Ready(fit));
         }
         ctx.publish(JournalEvent::Role(post));
     }
--- a/src/chain/join.rs
+++ b/src/chain/join.rs
@@ -55,7 +55,7 @@
         if self.in_chain() || self.fleet == FleetId(0) || ctx.now.since(self.joiner.asked) < ASK_INTERVAL {
             return;
         }
-        if ctx.slow || ctx.room < ROOM_TO_WRITE {
+        if ctx.is_disk_slow || ctx.free_disk_bytes < ROOM_TO_WRITE {
             return self.try_disk(ctx);
         }
         let Some(view) = ctx.views.view.clone() else { return };
@@ -117,7 +117,7 @@
         self.committed = at;
         self.joiner.following = true;
         let rows = self.records(state);
-        ctx.out.push(Effect::Rewrite(rows));
+        ctx.effects.push(Effect::Rewrite(rows));
         ctx.log_event("snapshot", format!("{at} from {from}"));
         ctx.publish(JournalEvent::StateLoaded(Arc::new(state.clone())));
     }
--- a/src/chain/leaving.rs
+++ b/src/chain/leaving.rs
@@ -86,7 +86,7 @@
         if now != old {
             self.departure = Some(now);
             ctx.log_event("leaving", now.to_string());
-            ctx.out.push(Effect::Leaving(now));
+            ctx.effects.push(Effect::Leaving(now));
         }
     }
 
@@ -105,7 +105,7 @@
         Departure {
             done: false,
             copies,
-            copies_wanted: ctx.me.need(),
+            copies_wanted: ctx.me.required_copies(),
             votes: next.voters.iter().filter(|v| next.has(**v)).filter(stay).count(),
             majority: next.majority(),
         }
--- a/src/chain/ledger_transfer.rs
+++ b/src/chain/ledger_transfer.rs
@@ -53,7 +53,7 @@
     /// Asks the predecessor while leases that this member doesn't know of could hold up a release.
     pub(super) fn request_ledger(&mut self, ctx: &mut Context) {
         let Some(nonce) = self.ledger_request.nonce else { return };
-        if self.unknown_until() <= ctx.now + ctx.me.proof {
+        if self.unknown_until() <= ctx.now + ctx.me.freshness_limit {
             self.ledger_request.nonce = None;
             return;
         }
--- a/src/chain/own_change.rs
+++ b/src/chain/own_change.rs
@@ -8,7 +8,7 @@
 use crate::kernel::component::Context;
 use crate::kernel::fault::{Fault, Kind};
 use crate::kernel::ids::*;
-use crate::msg::{Answer, Op};
+use crate::msg::{Answer, OperatorCall};
 
 /// A refusal that needs no revision to be passed before it can be forgotten.
 const NO_LAST_REVISION: u64 = u64::MAX;
@@ -17,7 +17,7 @@
     /// Takes the next change from the queue, unless one is under way.
     pub(super) fn work(&mut self, ctx: &mut Context) {
         let proposing = self.proposing.is_some_and(|since| ctx.now.since(since) < RESUBMIT_AFTER);
-        if ctx.views.state.trial.is_some() || proposing {
+        if ctx.views.state.candidate.is_some() || proposing {
             return;
         }
         if let Some((id, op)) = self.inbox.pop_front() {
@@ -25,15 +25,17 @@
         }
     }
 
-    pub(super) fn take(&mut self, id: ChangeId, op: Op, ctx: &mut Context) {
+    pub(super) fn take(&mut self, id: ChangeId, op: OperatorCall, ctx: &mut Context) {
         match op {
-            Op::Whole { base, text } => self.propose(id, base, Tree::parse(&text), true, ctx),
-            Op::Part { base, text } => self.propose_part(id, base, &text, ctx),
-            Op::Runners(list) => self.submit(id, Change::Runners { id, list }, ctx),
-            Op::Leaving(instance) => self.submit(id, Change::Leaving { id, instance }, ctx),
-            Op::Propose => self.submit(id, Change::PlanAsk { id }, ctx),
-            Op::Accept(at) => self.submit(id, Change::Accept { id, at }, ctx),
-            Op::Move { service, model, from, to, want } => {
+            OperatorCall::ReplaceConfig { base, text } => {
+                self.propose(id, base, Tree::parse(&text), true, ctx)
+            }
+            OperatorCall::PatchConfig { base, text } => self.propose_part(id, base, &text, ctx),
+            OperatorCall::SetRunners(list) => self.submit(id, Change::Runners { id, list }, ctx),
+            OperatorCall::MarkLeaving(instance) => self.submit(id, Change::Leaving { id, instance }, ctx),
+            OperatorCall::ProposePlan => self.submit(id, Change::PlanAsk { id }, ctx),
+            OperatorCall::AcceptPlan(at) => self.submit(id, Change::Accept { id, at }, ctx),
+            OperatorCall::MoveModel { service, model, from, to, want } => {
                 let plan = MovePlan {
                     id: MoveId(id.short()),
                     service,
@@ -47,7 +49,7 @@
                 };
                 self.plan_move(id, plan, ctx);
             }
-            Op::Internal(_) | Op::Foreign { .. } => {}
+            OperatorCall::Internal(_) | OperatorCall::PlatformConfig { .. } => {}
         }
     }
 
@@ -63,7 +65,7 @@
     }
 
     fn propose_part(&mut self, id: ChangeId, base: Option<Version>, text: &str, ctx: &mut Context) {
-        let current = ctx.views.state.config_at;
+        let current = ctx.views.state.config_version;
         match base {
             Some(base) if base > current => self.end(id, unknown_base(base, current), ctx),
             Some(base) if base < current => self.end(id, stale_base(base, ctx), ctx),
@@ -88,7 +90,7 @@
         lasting: bool,
         ctx: &mut Context,
     ) {
-        let current = ctx.views.state.config_at;
+        let current = ctx.views.state.config_version;
         if base.is_some_and(|base| ctx.views.state.ledger.may_have_forgotten_version(base)) {
             self.end(id, beyond_memory(), ctx);
             return self.work(ctx);
@@ -135,7 +137,7 @@
         return beyond_memory();
     }
     let code = OutcomeCode::StaleBase;
-    let text = format!("base {base} is not the current {}; read it and send again", state.config_at);
+    let text = format!("base {base} is not the current {}; read it and send again", state.config_version);
     Answer::new(status(code), &code.to_string(), &text, 0)
 }
 
--- a/src/chain/read_index.rs
+++ b/src/chain/read_index.rs
@@ -31,7 +31,7 @@
     from: NodeId,
     id: ChangeId,
     attempt: u64,
-    op: Op,
+    op: OperatorCall,
     since: Time,
     /// Whether the chain had members enough when it arrived.
     copies_sufficed: bool,
@@ -93,22 +93,29 @@
 
 impl ChangeQueue {
     /// Takes in an order. A change of the fleet's own carries its own fence and needs no proof.
-    pub(super) fn received(&mut self, from: NodeId, id: ChangeId, attempt: u64, op: &Op, ctx: &mut Context) {
+    pub(super) fn received(
+        &mut self,
+        from: NodeId,
+        id: ChangeId,
+        attempt: u64,
+        op: &OperatorCall,
+        ctx: &mut Context,
+    ) {
         if !ctx.views.role.head || !ctx.views.role.ready {
             return;
         }
-        let Op::Internal(change) = op else { return self.arrived(from, id, attempt, op, ctx) };
-        if ctx.room >= ROOM || ctx.views.role.spare {
+        let OperatorCall::Internal(change) = op else { return self.arrived(from, id, attempt, op, ctx) };
+        if ctx.free_disk_bytes >= ROOM || ctx.views.role.spare {
             ctx.publish(JournalEvent::Submitted(Arc::new(change.clone())));
         }
     }
 
     /// An order has arrived: it is decided on once the head's state is proven.
-    fn arrived(&mut self, from: NodeId, id: ChangeId, attempt: u64, op: &Op, ctx: &mut Context) {
+    fn arrived(&mut self, from: NodeId, id: ChangeId, attempt: u64, op: &OperatorCall, ctx: &mut Context) {
         let (op, copies_sufficed) = (op.clone(), copies_suffice(ctx));
         let arrival = Arrival { from, id, attempt, op, since: ctx.now, copies_sufficed };
         if !self.read_index.add(arrival) {
-            return ctx.send(from, Msg::OpEnd { id, attempt, answer: queue_full() });
+            return ctx.send(from, Msg::CallAnswer { id, attempt, answer: queue_full() });
         }
         self.request_proof(ctx);
     }
@@ -165,7 +172,7 @@
         self.admit(ctx);
         for a in self.read_index.expired(ctx.now) {
             let answer = if copies_suffice(ctx) { unconfirmed() } else { too_few_copies() };
-            ctx.send(a.from, Msg::OpEnd { id: a.id, attempt: a.attempt, answer });
+            ctx.send(a.from, Msg::CallAnswer { id: a.id, attempt: a.attempt, answer });
         }
         let waits = !self.read_index.arrivals.is_empty();
         if waits && ctx.now.since(self.read_index.requested) >= REQUEST_INTERVAL {
--- a/src/chain/recovery.rs
+++ b/src/chain/recovery.rs
@@ -57,7 +57,7 @@
     pub fleet: FleetId,
     pub view: Option<View>,
     pub synced: Version,
-    pub config_at: Version,
+    pub config_version: Version,
 }
 
 pub fn inspect(records: &[Record]) -> Copy {
@@ -66,7 +66,13 @@
     for e in c.log.iter() {
         state.fold(e.at, &e.change);
     }
-    Copy { node: c.ident, fleet: c.fleet, view: c.view, synced: c.log.last(), config_at: state.config_at }
+    Copy {
+        node: c.ident,
+        fleet: c.fleet,
+        view: c.view,
+        synced: c.log.last(),
+        config_version: state.config_version,
+    }
 }
 
 pub fn restore(records: &[Record]) -> Option<Vec<Record>> {
--- a/src/chain/replicate.rs
+++ b/src/chain/replicate.rs
@@ -57,7 +57,11 @@
 impl Chain {
     pub fn submit(&mut self, change: &Shared, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
-        if !self.is_head() || !self.ready || view.chain.len() < ctx.me.need() || !self.takes_entries(ctx) {
+        if !self.is_head()
+            || !self.ready
+            || view.chain.len() < ctx.me.required_copies()
+            || !self.takes_entries(ctx)
+        {
             return;
         }
         let entry = Entry { at: self.log.last().next(), view: view.no, change: change.clone() };
@@ -80,7 +84,7 @@
     }
 
     fn takes_entries(&self, ctx: &Context) -> bool {
-        ctx.room >= ROOM_TO_WRITE && !self.log.is_full()
+        ctx.free_disk_bytes >= ROOM_TO_WRITE && !self.log.is_full()
     }
 
     pub fn append_entry(&mut self, entry: Entry, ctx: &mut Context) {
@@ -106,7 +110,7 @@
 
     pub fn append(&mut self, from: NodeId, no: ViewNo, upto: Version, rows: &[Entry], ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
-        if view.no != no || view.before(self.ident) != Some(from) || ctx.room < ROOM_TO_WRITE {
+        if view.no != no || view.before(self.ident) != Some(from) || ctx.free_disk_bytes < ROOM_TO_WRITE {
             return;
         }
         let mut added = Vec::new();
@@ -120,7 +124,7 @@
                 Fit::Gap => break,
                 Fit::Clash => {
                     let why = format!("entry {} differs from the one before it in the chain", e.at);
-                    ctx.out.push(Effect::Reset(why));
+                    ctx.effects.push(Effect::Reset(why));
                     return;
                 }
             }
@@ -147,7 +151,7 @@
         }
         if synced > self.log.last() {
             let why = format!("the next in the chain holds {synced}, this node only {}", self.log.last());
-            ctx.out.push(Effect::Reset(why));
+            ctx.effects.push(Effect::Reset(why));
             return;
         }
         self.successor.note_synced(synced, ctx.now);
--- a/src/chain/serving_leases.rs
+++ b/src/chain/serving_leases.rs
@@ -73,7 +73,7 @@
         if !went_on {
             self.holders.clear();
             self.history.clear();
-            self.unknown_until = ctx.now + ctx.me.lease + LEASE;
+            self.unknown_until = ctx.now + ctx.me.serving_lease + LEASE;
             self.renew_ledger_request(ctx);
         }
         self.view = inside.then_some(view);
@@ -129,7 +129,7 @@
 
     fn record(&mut self, a: &LeaseApplication, ctx: &Context) {
         self.end_earlier_lives(a);
-        let until = ctx.now + ctx.me.lease;
+        let until = ctx.now + ctx.me.serving_lease;
         let versions = a.request.versions.clone();
         self.holders.insert(a.router, Holder { until, versions, address: a.address, number: a.number });
     }
@@ -138,7 +138,7 @@
     fn judge(&mut self, a: &LeaseApplication, ctx: &mut Context) {
         if self.history.is_newest(&a.request.versions) {
             self.record(a, ctx);
-            let (nonce, grant, length) = (a.request.nonce, a.number, ctx.me.lease);
+            let (nonce, grant, length) = (a.request.nonce, a.number, ctx.me.serving_lease);
             return ctx.send(a.router, Msg::ServingLeaseGrant(ServingLeaseGrant { nonce, grant, length }));
         }
         self.end_earlier_lives(a);
@@ -164,7 +164,7 @@
 
     /// The newest version that no router can be behind of for longer than `proof` from now.
     fn releasable(&mut self, ctx: &Context) -> Version {
-        let horizon = ctx.now + ctx.me.proof;
+        let horizon = ctx.now + ctx.me.freshness_limit;
         if self.unknown_until + CLOCK_DRIFT_MARGIN > horizon {
             return Version(0);
         }
@@ -218,19 +218,19 @@
         self.follow_view(ctx);
         match ev {
             Event::Journal(JournalEvent::Founded) => self.unknown_until = ctx.now,
-            Event::Mail { from, msg: Msg::ServingLeaseRequest(request), .. } => {
+            Event::Message { from, msg: Msg::ServingLeaseRequest(request), .. } => {
                 self.requested(*from, request, ctx)
             }
-            Event::Mail { msg: Msg::Chain(ChainMsg::LeaseApplications { view, rows }), .. } => {
+            Event::Message { msg: Msg::Chain(ChainMsg::LeaseApplications { view, rows }), .. } => {
                 self.applied(*view, rows, ctx)
             }
-            Event::Mail { from, msg: Msg::Chain(ChainMsg::LeaseLedgerRequest { view, nonce }), .. } => {
-                self.ledger_requested(*from, *view, *nonce, ctx)
-            }
-            Event::Mail { msg: Msg::Chain(ChainMsg::LeaseLedger { view, nonce, ledger }), .. } => {
+            Event::Message {
+                from, msg: Msg::Chain(ChainMsg::LeaseLedgerRequest { view, nonce }), ..
+            } => self.ledger_requested(*from, *view, *nonce, ctx),
+            Event::Message { msg: Msg::Chain(ChainMsg::LeaseLedger { view, nonce, ledger }), .. } => {
                 self.ledger_given(*view, *nonce, ledger, ctx)
             }
-            Event::Mail { msg: Msg::Chain(ChainMsg::Released { view, upto }), .. }
+            Event::Message { msg: Msg::Chain(ChainMsg::Released { view, upto }), .. }
                 if *view == ctx.views.role.view =>
             {
                 self.raise(*upto, ctx)
--- a/src/chain/show.rs
+++ b/src/chain/show.rs
@@ -13,7 +13,7 @@
     pub fn ask(&mut self, from: NodeId, attempt: u64, path: &str, ctx: &mut Context) {
         if ctx.now < ctx.views.role.until {
             let answer = answer(path, ctx.views);
-            ctx.send(from, Msg::AskEnd { attempt, answer });
+            ctx.send(from, Msg::ReadAnswer { attempt, answer });
         }
     }
 }
@@ -27,9 +27,10 @@
         };
     }
     let tree = match path.split('/').collect::<Vec<_>>()[..] {
-        ["config"] => {
-            map(&[("version", state.config_at.to_string().into()), ("configuration", state.config.shown())])
-        }
+        ["config"] => map(&[
+            ("version", state.config_version.to_string().into()),
+            ("configuration", state.config.shown()),
+        ]),
         ["source"] if state.config.source.is_empty() => {
             return Answer::new(404, "no-configuration", "no configuration was taken yet; send one", 0);
         }
@@ -54,7 +55,7 @@
             if let Some(order) = name.and_then(|name| state.ledger.taken_as(name)) {
                 return super::reply::taken(order);
             }
-            if state.trial.as_ref().is_some_and(|t| Some(t.id.name) == name) {
+            if state.candidate.as_ref().is_some_and(|t| Some(t.id.name) == name) {
                 return Answer::new(202, "rehearsing", "the change is under rehearsal; ask again", 1);
             }
             let text = "no such change is recorded; it was not taken, or is too old to be kept";
--- a/src/chain/version_history.rs
+++ b/src/chain/version_history.rs
@@ -38,9 +38,9 @@
         }
         let from = if self.sets.is_empty() { state.at } else { self.seen.next() };
         self.seen = state.at;
-        let routes_at = state.scope_at(&Scope::Routes);
-        if self.scopes.0 != routes_at || self.scopes.1.is_empty() {
-            self.scopes = (routes_at, serving_scopes(&route_rows(&state.config)));
+        let routes_version = state.scope_at(&Scope::Routes);
+        if self.scopes.0 != routes_version || self.scopes.1.is_empty() {
+            self.scopes = (routes_version, serving_scopes(&route_rows(&state.config)));
         }
         let versions: Vec<Version> = self.scopes.1.iter().map(|s| state.scope_at(s)).collect();
         if self.sets.back().is_some_and(|last| last.versions == versions) {
--- a/src/chain/view.rs
+++ b/src/chain/view.rs
@@ -5,7 +5,7 @@
 //! ever goes to a member of the current chain, so no view counts on a voter that has not synced the state yet.
 #![deny(missing_docs)]
 
-use crate::kernel::component::Me;
+use crate::kernel::component::LocalNode;
 use crate::kernel::ids::*;
 use bitcode::{Decode, Encode};
 
@@ -79,8 +79,8 @@
     }
 
     /// The next view with `new` at the end of the chain, without a vote; none if the chain is full.
-    pub fn with(&self, new: NodeId, me: &Me) -> Option<View> {
-        if self.chain.len() >= me.most() && !self.has_vacant_vote() {
+    pub fn with(&self, new: NodeId, me: &LocalNode) -> Option<View> {
+        if self.chain.len() >= me.max_chain_length() && !self.has_vacant_vote() {
             return None;
         }
         let mut next = self.next();
@@ -90,11 +90,11 @@
 
     /// The next view, in which the first of `candidates` take vacant votes and votes still to be given out;
     /// none if there is no vote to take.
-    pub fn with_votes_for(&self, candidates: &[NodeId], me: &Me) -> Option<View> {
+    pub fn with_votes_for(&self, candidates: &[NodeId], me: &LocalNode) -> Option<View> {
         let mut next = self.next();
         let mut free = next.give_vacant_votes(candidates);
-        let step = if me.core > 0 { 1 } else { 2 };
-        while next.voters.len() + step <= me.votes() && free.len() >= step {
+        let step = if me.core_size > 0 { 1 } else { 2 };
+        while next.voters.len() + step <= me.voter_count() && free.len() >= step {
             next.voters.extend(free.drain(..step));
         }
         (next.voters != self.voters).then_some(next)
@@ -108,9 +108,9 @@
     }
 
     /// The first view of a fleet.
-    pub fn founded(chain: Vec<NodeId>, me: &Me) -> View {
+    pub fn founded(chain: Vec<NodeId>, me: &LocalNode) -> View {
         let mut voters = chain.clone();
-        if me.core == 0 {
+        if me.core_size == 0 {
             voters.truncate((chain.len() - 1) / 2 * 2 + 1);
         }
         View { no: ViewNo(1), chain, voters }
--- a/src/cli/offline.rs
+++ b/src/cli/offline.rs
@@ -1,5 +1,5 @@
 use crate::fleet::read::read;
-use crate::fleet::runner::{Report, Runner};
+use crate::fleet::runner::{Runner, RunnerReport};
 use crate::json::Tree;
 use crate::json::tree::map;
 use crate::kernel::ids::*;
@@ -32,7 +32,7 @@
     }
     let mut offers: Vec<Offer> = Vec::new();
     for (n, t) in tree.list("reports").iter().enumerate() {
-        let Some(report) = Report::read(t) else {
+        let Some(report) = RunnerReport::read(t) else {
             bad.push(format!(
                 "reports[{n}]: instance, room_mb, used_mb, running or waiting is missing; add it"
             ));
@@ -79,7 +79,7 @@
     let (config, flights) = (&config, &flights);
     let p = Picture {
         config,
-        config_at: Version(0),
+        config_version: Version(0),
         offers,
         flights,
         now: Time(0),
--- a/src/constraints/client.rs
+++ b/src/constraints/client.rs
@@ -123,7 +123,7 @@
             blocked_until: row.blocked.map(|wait| ctx.now + wait),
         };
         let grants = rows.iter().map(grant).collect();
-        ctx.out.push(Effect::QuotaGranted(grants));
+        ctx.effects.push(Effect::QuotaGranted(grants));
         flight.rows().iter().zip(rows).for_each(|(asked, got)| self.want_rest(asked, got, ctx.now));
         self.ask(ctx);
     }
@@ -221,13 +221,13 @@
                 self.add(demand);
                 self.ask(ctx);
             }
-            Event::Mail { from, msg: Msg::Constraint(ConstraintMsg::Granted { key, rows }), .. } => {
+            Event::Message { from, msg: Msg::Constraint(ConstraintMsg::Granted { key, rows }), .. } => {
                 self.granted(*from, *key, rows, ctx)
             }
-            Event::Mail { from, msg: Msg::Constraint(ConstraintMsg::NotOwner { key, view }), .. } => {
+            Event::Message { from, msg: Msg::Constraint(ConstraintMsg::NotOwner { key, view }), .. } => {
                 self.refused(*from, *key, view, ctx)
             }
-            Event::Mail { msg: Msg::Constraint(ConstraintMsg::ViewReply { view }), .. } => {
+            Event::Message { msg: Msg::Constraint(ConstraintMsg::ViewReply { view }), .. } => {
                 self.view_told(view, ctx)
             }
             Event::Journal(JournalEvent::ViewHeard(_)) => self.view_changed(ctx),
--- a/src/constraints/messages.rs
+++ b/src/constraints/messages.rs
@@ -16,7 +16,7 @@
         /// The owner's time; its authority counts from then.
         sent: Time,
         /// The configuration whose limits it would grant by.
-        config_at: Version,
+        config_version: Version,
     },
     /// The tail gives it.
     AuthorityGrant {
--- a/src/constraints/owner.rs
+++ b/src/constraints/owner.rs
@@ -26,7 +26,7 @@
 /// Component of the controllers.
 pub struct QuotaOwner {
     settings: QuotaSettings,
-    config_at: Option<Version>,
+    config_version: Option<Version>,
     counters: Counters,
     authority: Authority,
     answers: GivenAnswers,
@@ -38,7 +38,7 @@
     pub fn new(settings: QuotaSettings) -> QuotaOwner {
         QuotaOwner {
             settings,
-            config_at: None,
+            config_version: None,
             counters: Counters::default(),
             authority: Authority::default(),
             answers: GivenAnswers::default(),
@@ -54,8 +54,8 @@
             self.counters.follow_view(view, node, ctx.now);
         }
         let state = &ctx.views.state;
-        if self.config_at != Some(state.config_at) {
-            self.config_at = Some(state.config_at);
+        if self.config_version != Some(state.config_version) {
+            self.config_version = Some(state.config_version);
             self.counters.set_limits(self.settings, &state.config, ctx.now);
             self.add_buckets(ctx);
         }
@@ -102,8 +102,8 @@
             }
             return;
         }
-        let (sent, config_at) = (ctx.now, ctx.views.state.config_at);
-        ctx.send(tail, Msg::Constraint(ConstraintMsg::AuthorityRequest { view: no, sent, config_at }));
+        let (sent, config_version) = (ctx.now, ctx.views.state.config_version);
+        ctx.send(tail, Msg::Constraint(ConstraintMsg::AuthorityRequest { view: no, sent, config_version }));
     }
 
     /// The tail gives authority to owners that know the newest limits.
@@ -111,11 +111,11 @@
         &self,
         from: NodeId,
         view: ViewNo,
-        config_at: Version,
+        config_version: Version,
         sent: Time,
         ctx: &mut Context,
     ) {
-        if gives_authority(view, ctx) && config_at == ctx.views.state.config_at {
+        if gives_authority(view, ctx) && config_version == ctx.views.state.config_version {
             ctx.send(from, Msg::Constraint(ConstraintMsg::AuthorityGrant { view, sent }));
         }
     }
@@ -177,8 +177,8 @@
 
     fn hear(&mut self, from: NodeId, msg: &ConstraintMsg, ctx: &mut Context) {
         match msg {
-            ConstraintMsg::AuthorityRequest { view, sent, config_at } => {
-                self.authority_requested(from, *view, *config_at, *sent, ctx)
+            ConstraintMsg::AuthorityRequest { view, sent, config_version } => {
+                self.authority_requested(from, *view, *config_version, *sent, ctx)
             }
             ConstraintMsg::AuthorityGrant { view, sent } => self.authority_granted(*view, *sent, ctx),
             ConstraintMsg::Acquire(question) => self.acquire(from, question, ctx),
@@ -211,7 +211,7 @@
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         self.follow(ctx);
         match ev {
-            Event::Mail { from, msg: Msg::Constraint(msg), .. } => self.hear(*from, msg, ctx),
+            Event::Message { from, msg: Msg::Constraint(msg), .. } => self.hear(*from, msg, ctx),
             Event::Tick => self.tick(ctx),
             _ => {}
         }
--- a/src/daemon/assemble.rs
+++ b/src/daemon/assemble.rs
@@ -5,7 +5,7 @@
 use crate::constraints::client::QuotaClient;
 use crate::constraints::owner::QuotaOwner;
 use crate::distribution::Distribution;
-use crate::kernel::component::Me;
+use crate::kernel::component::LocalNode;
 use crate::kernel::ids::*;
 use crate::kernel::node::Node;
 use crate::kernel::rand::Rand;
@@ -45,20 +45,20 @@
     Preempt,
 }
 
-fn me(place: &Place, node: NodeId, role: Role, now: Time) -> Me {
-    Me {
+fn me(place: &Place, node: NodeId, role: Role, now: Time) -> LocalNode {
+    LocalNode {
         node,
         role,
         domain: place.domain.clone(),
         addr: place.addr,
         admin: place.admin,
         seeds: place.seeds.iter().copied().filter(|s| *s != place.addr).collect(),
-        seed: place.seeds.contains(&place.addr),
-        core: place.core,
-        bear: place.bear,
-        first: place.first,
-        proof: place.proof,
-        lease: place.lease,
+        is_seed: place.seeds.contains(&place.addr),
+        core_size: place.core,
+        tolerated_failures: place.bear,
+        may_found: place.first,
+        freshness_limit: place.proof,
+        serving_lease: place.lease,
         started: now,
     }
 }
--- a/src/daemon/driver.rs
+++ b/src/daemon/driver.rs
@@ -7,7 +7,7 @@
 use super::ticks::Ticks;
 use super::writer::Writer;
 use crate::kernel::fault::Kind;
-use crate::kernel::hold::Hold;
+use crate::kernel::hold::SyncGate;
 use crate::kernel::input_queue::InputQueue;
 use crate::kernel::lanes::Lane;
 use crate::kernel::node::Node;
@@ -111,7 +111,7 @@
         };
         let out = node.feed(self.clock.now(), Event::Start);
         let (asks, own) = (BTreeMap::new(), VecDeque::new());
-        let mut r = Run { node, asks, own, shown: 0, hold: Hold::default(), set_aside };
+        let mut r = Run { node, asks, own, shown: 0, hold: SyncGate::default(), set_aside };
         self.carry(&mut r, out).then_some(r)
     }
 
@@ -159,7 +159,7 @@
         let now = self.clock.now();
         if ticks.is_due(now, events) {
             out.extend(r.node.feed(now, Event::Tick));
-            let work = Input::Event(Event::Work);
+            let work = Input::Event(Event::DutyTick);
             queue.add(now, work.class(), work);
             ticks.done(self.clock.now());
             self.log_figures(r, queue, now);
@@ -175,14 +175,14 @@
     fn observe_disk(&self, r: &mut Run) {
         let Some(disk) = &self.disk else { return };
         let now = self.clock.now();
-        r.node.room = disk.room();
-        r.node.slow = r.hold.slow(now);
-        r.node.stuck = r.hold.stuck(now);
+        r.node.free_disk_bytes = disk.room();
+        r.node.is_disk_slow = r.hold.is_slow(now);
+        r.node.is_write_stuck = r.hold.is_stuck(now);
     }
 
     fn synced(&self, r: &mut Run, life: u64, upto: u64) -> Vec<Effect> {
         let current = self.disk.as_ref().is_some_and(|d| d.life() == life);
-        if current { r.hold.synced(self.clock.now(), upto) } else { vec![] }
+        if current { r.hold.release_synced(self.clock.now(), upto) } else { vec![] }
     }
 
     fn log_figures(&self, r: &mut Run, queue: &mut InputQueue<Input>, now: Time) {
@@ -211,7 +211,7 @@
         }
         Input::Seeds(seeds) => {
             let own = r.node.me.addr;
-            r.node.me.seed = seeds.contains(&own);
+            r.node.me.is_seed = seeds.contains(&own);
             r.node.me.seeds = seeds.into_iter().filter(|s| *s != own).collect();
             vec![]
         }
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -2,7 +2,7 @@
 
 use super::driver::Driver;
 use super::keep::show;
-use crate::kernel::hold::Hold;
+use crate::kernel::hold::SyncGate;
 use crate::kernel::ids::*;
 use crate::kernel::lanes::class_of_message;
 use crate::kernel::node::Node;
@@ -19,7 +19,7 @@
     /// What the node sent to itself.
     pub(super) own: VecDeque<Event>,
     pub(super) shown: u64,
-    pub(super) hold: Hold,
+    pub(super) hold: SyncGate,
     /// Damaged files that were kept under other names when this life of the node began.
     pub(super) set_aside: Option<String>,
 }
@@ -28,7 +28,7 @@
     /// Shows what happened, and carries out the effects of a step; whether the node goes on.
     pub(super) fn carry(&self, r: &mut Run, out: Vec<Effect>) -> bool {
         show(&r.node, &mut r.shown);
-        let (out, job) = r.hold.take(self.clock.now(), out);
+        let (out, job) = r.hold.submit(self.clock.now(), out);
         if let (Some(disk), Some(job)) = (&self.disk, job) {
             disk.write(job);
         }
@@ -48,7 +48,7 @@
                 }
                 Effect::Send { to, msg } if to == r.node.me.node => {
                     let fleet = r.node.views.fleet;
-                    r.own.push_back(Event::Mail { from: to, fleet, msg });
+                    r.own.push_back(Event::Message { from: to, fleet, msg });
                 }
                 Effect::Send { to, msg } => {
                     if let Some(addr) = r.node.views.member(to).map(|c| c.addr) {
@@ -71,6 +71,6 @@
         let (from, fleet) = (node.me.node, node.views.fleet);
         let (class, kind) = (class_of_message(from, &msg), msg.kind());
         let envelope = Envelope { from, to, fleet, addr: node.me.addr, msg };
-        self.links.send(addr, class, kind, wire::pack(&envelope));
+        self.links.send(addr, class, kind, wire::encode_envelope(&envelope));
     }
 }
--- a/src/daemon/input.rs
+++ b/src/daemon/input.rs
@@ -41,7 +41,7 @@
 
     pub async fn ask(&self, id: ChangeId, ev: Event) -> Answer {
         let (tx, rx) = oneshot::channel();
-        let write = matches!(ev, Event::Op { .. });
+        let write = matches!(ev, Event::OperatorCall { .. });
         let text =
             format!("this node stopped; the change may still be taken, ask with: spindledock change {id}");
         let sent = self.tx.send(Input::Ask(id, ev, tx)).is_ok();
--- a/src/daemon/keep.rs
+++ b/src/daemon/keep.rs
@@ -13,7 +13,7 @@
     if other || (l.to.0 != 0 && l.to != node.me.node) {
         return vec![];
     }
-    node.feed(now, Event::Mail { from: l.from, fleet: l.fleet, msg: l.msg })
+    node.feed(now, Event::Message { from: l.from, fleet: l.fleet, msg: l.msg })
 }
 
 pub fn show(node: &Node, shown: &mut u64) {
--- a/src/daemon/links.rs
+++ b/src/daemon/links.rs
@@ -194,17 +194,17 @@
 
 async fn read(mut tcp: TcpStream, take: &Take, traffic: &Traffic) -> Result<(), crate::kernel::fault::Fault> {
     loop {
-        let mut head = [0u8; wire::HEAD];
+        let mut head = [0u8; wire::HEADER_LEN];
         let came = tokio::time::timeout(UNHEARD, tcp.read_exact(&mut head)).await;
         if !matches!(came, Ok(Ok(_))) {
             return Ok(());
         }
-        let len = wire::size(&head, wire::NET_MAX)?;
+        let len = wire::body_len(&head, wire::MAX_NETWORK_BODY)?;
         let mut body = vec![0u8; len];
         if tcp.read_exact(&mut body).await.is_err() {
             return Ok(());
         }
-        let envelope: Envelope = wire::unpack(wire::body(&head, &body)?)?;
+        let envelope: Envelope = wire::decode_envelope(wire::checked_body(&head, &body)?)?;
         traffic.got(envelope.msg.kind(), len);
         take(envelope);
     }
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -1,4 +1,4 @@
-use crate::fleet::runner::{Report, Runner};
+use crate::fleet::runner::{Runner, RunnerReport};
 use crate::gate::Table;
 use crate::http::connection::SendError;
 use crate::http::pool::{Pool, open};
@@ -12,7 +12,7 @@
 const LIVE_EVERY: u64 = 8;
 const DUE: Duration = Duration::from_millis(1000);
 
-pub async fn report(pool: &Pool, side: &dyn RunnerProtocol, r: &Runner) -> Option<Report> {
+pub async fn report(pool: &Pool, side: &dyn RunnerProtocol, r: &Runner) -> Option<RunnerReport> {
     let call = side.report(r);
     let sent = call.headers().clone();
     let own = |heads: &HeaderMap| side.may_answer(&sent, heads);
@@ -53,7 +53,7 @@
             tell.live = crate::gate::rehearse::live(&table, clock.now(), &seen());
         }
         if let (at, Some(t)) = table.trial() {
-            let done: Option<(_, crate::msg::Rehearsal)> = last.take().filter(|l: &(_, _)| l.0 == at);
+            let done: Option<(_, crate::msg::RehearsalResult)> = last.take().filter(|l: &(_, _)| l.0 == at);
             let row = match done {
                 Some((_, r)) => r,
                 None => crate::gate::rehearse::rehearse(&table, &*clock, &t, &seen()),
--- a/src/daemon/restore.rs
+++ b/src/daemon/restore.rs
@@ -24,7 +24,7 @@
     let view = copy.view.as_ref().map_or("none".to_string(), |v| v.to_string());
     let text = format!(
         "node={} fleet={} view={view} version={} configuration={}",
-        copy.node, copy.fleet, copy.synced, copy.config_at
+        copy.node, copy.fleet, copy.synced, copy.config_version
     );
     if !write {
         return Ok(text);
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -15,7 +15,7 @@
 use crate::http::serve::Front;
 use crate::kernel::disk::LogFile;
 use crate::kernel::fault::{Fault, Kind};
-use crate::kernel::rand::Kernel;
+use crate::kernel::rand::OsRandom;
 use crate::kernel::registry::Registry;
 use crate::kernel::time::{BootClock, Clock, Span};
 use crate::msg::*;
@@ -122,8 +122,8 @@
     let build = Box::new(move |records| {
         let now = ticks.now();
         match role {
-            Role::Router => (router(&spot, now, Box::new(Kernel)), vec![]),
-            Role::Controller => controller(&spot, now, Box::new(Kernel), records),
+            Role::Router => (router(&spot, now, Box::new(OsRandom)), vec![]),
+            Role::Controller => controller(&spot, now, Box::new(OsRandom), records),
         }
     });
     let sender = links.clone();
@@ -186,31 +186,33 @@
     let departure = departure.clone();
     let rt = tokio::runtime::Handle::current();
     Box::new(move |e| match e {
-        Effect::Learn { scope, at, slice, proven } => table.learn(clock.now(), &scope, at, slice, proven),
-        Effect::Leased { scopes, until } => table.lease(clock.now(), &scopes, until),
-        Effect::Mark(name) => table.mark(clock.now(), &name),
-        Effect::Routers(n) => routers.store(n, Ordering::SeqCst),
-        Effect::Watch(list) => *runners.lock().unwrap() = list,
-        Effect::Holds(on) => drop(list.as_ref().map(|l| l.switch(on))),
+        Effect::TopicUpdate { scope, at, slice, proven } => {
+            table.learn(clock.now(), &scope, at, slice, proven)
+        }
+        Effect::ServingLease { scopes, until } => table.lease(clock.now(), &scopes, until),
+        Effect::RunnerLeaving(name) => table.mark(clock.now(), &name),
+        Effect::RouterCount(n) => routers.store(n, Ordering::SeqCst),
+        Effect::PollRunners(list) => *runners.lock().unwrap() = list,
+        Effect::HoldsDuty(on) => drop(list.as_ref().map(|l| l.switch(on))),
         Effect::ReadList => drop(list.as_ref().map(|l| l.read_now())),
-        Effect::Held(rows) => table.held(clock.now(), &rows),
+        Effect::Holdings(rows) => table.held(clock.now(), &rows),
         Effect::QuotaGranted(grants) => table.quota.lock().unwrap().granted(clock.now(), &grants),
-        Effect::Look(name) => {
+        Effect::PollRunner(name) => {
             let found = runners.lock().unwrap().iter().find(|r| r.instance == name).cloned();
             let Some(r) = found else { return };
             let (pool, hand, side) = (pool.clone(), hand.clone(), side.clone());
             rt.spawn(async move {
                 let report = poll::report(&pool, &*side, &r).await;
-                hand.feed(Event::Report { instance: r.instance, report });
+                hand.feed(Event::RunnerReport { instance: r.instance, report });
             });
         }
         Effect::Ready(ready) => fit.store(ready, Ordering::SeqCst),
         Effect::Leaving(now) => *departure.lock().unwrap() = now,
-        Effect::Drive(order) => {
+        Effect::OrderRunner(order) => {
             let (pool, clock, hand, side) = (pool.clone(), clock.clone(), hand.clone(), side.clone());
             rt.spawn(async move {
                 let status = poll::drive(&pool, &*side, clock, &order).await;
-                hand.feed(Event::Ordered { order: order.order, status });
+                hand.feed(Event::OrderAnswered { order: order.order, status });
             });
         }
         _ => {}
@@ -225,7 +227,7 @@
     routers: &Arc<AtomicU64>,
 ) {
     let inbox = Mutex::new(hand.clone());
-    table.on_want(Arc::new(move |want| inbox.lock().unwrap().feed(Event::Wanted(want))));
+    table.on_want(Arc::new(move |want| inbox.lock().unwrap().feed(Event::NameWanted(want))));
     let inbox = Mutex::new(hand.clone());
     let asker = move |demand| inbox.lock().unwrap().feed(Event::QuotaWanted(demand));
     table.quota.lock().unwrap().on_wanted(Arc::new(asker));
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -42,7 +42,7 @@
         log::info!(event = "warned", drain_ms = self.drain.as_ms(); "");
         self.front.leaving.store(true, Ordering::SeqCst);
         self.front.clients.stop();
-        self.hand.feed(Event::Warned);
+        self.hand.feed(Event::StopAnnounced);
         let due = self.clock.now() + self.drain;
         tokio::time::sleep(self.lame).await;
         self.front.stopping.store(true, Ordering::SeqCst);
--- a/src/daemon/writer.rs
+++ b/src/daemon/writer.rs
@@ -1,6 +1,6 @@
 use super::input::Input;
 use crate::kernel::disk::Disk;
-use crate::kernel::hold::{Job, write};
+use crate::kernel::hold::{WriteBatch, write_batch};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -19,7 +19,7 @@
 
 pub struct Writer {
     desk: ChangeQueue,
-    tx: Sender<(u64, Job)>,
+    tx: Sender<(u64, WriteBatch)>,
 }
 
 impl Writer {
@@ -42,7 +42,7 @@
         self.desk.life.load(Ordering::SeqCst)
     }
 
-    pub fn write(&self, job: Job) {
+    pub fn write(&self, job: WriteBatch) {
         let _ = self.tx.send((self.life(), job));
     }
 
@@ -52,21 +52,21 @@
 }
 
 impl ChangeQueue {
-    fn run(self, rx: Receiver<(u64, Job)>, back: Sender<Input>) {
+    fn run(self, rx: Receiver<(u64, WriteBatch)>, back: Sender<Input>) {
         loop {
             let first = match rx.recv_timeout(LOOK) {
                 Ok(first) => Some(first),
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            let mut jobs: Vec<(u64, Job)> = first.into_iter().collect();
+            let mut jobs: Vec<(u64, WriteBatch)> = first.into_iter().collect();
             while !jobs.is_empty()
                 && jobs.len() < MOST
                 && let Ok(job) = rx.try_recv()
             {
                 jobs.push(job);
             }
-            if let Some((life, upto)) = jobs.last().map(|j| (j.0, j.1.no))
+            if let Some((life, upto)) = jobs.last().map(|j| (j.0, j.1.number))
                 && self.keep(life, jobs)
             {
                 let _ = back.send(Input::Synced { life, upto });
@@ -76,15 +76,15 @@
         }
     }
 
-    fn keep(&self, life: u64, jobs: Vec<(u64, Job)>) -> bool {
-        let rows: Vec<_> = jobs.into_iter().filter(|j| j.0 == life).flat_map(|j| j.1.rows).collect();
+    fn keep(&self, life: u64, jobs: Vec<(u64, WriteBatch)>) -> bool {
+        let rows: Vec<_> = jobs.into_iter().filter(|j| j.0 == life).flat_map(|j| j.1.writes).collect();
         let mut told = false;
         loop {
             let mut disk = self.disk.lock().unwrap();
             if self.life.load(Ordering::SeqCst) != life {
                 return false;
             }
-            let Err(f) = write(&mut **disk, &rows) else {
+            let Err(f) = write_batch(&mut **disk, &rows) else {
                 if told {
                     log::info!(event = "disk-back"; "");
                 }
--- a/src/distribution/history.rs
+++ b/src/distribution/history.rs
@@ -8,7 +8,7 @@
 const STEPS: usize = 16;
 
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub struct Step {
+pub struct DeltaStep {
     pub from: Version,
     pub at: Version,
     pub print: u32,
@@ -16,17 +16,17 @@
 }
 
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub enum Body {
+pub enum UpdateBody {
     Same,
     Whole(Arc<Slice>),
-    Steps(Vec<Arc<Step>>),
+    Steps(Vec<Arc<DeltaStep>>),
 }
 
 #[derive(Clone, Default)]
 pub struct ChangeHistory {
     pub at: Version,
     pub slice: Option<Arc<Slice>>,
-    steps: VecDeque<(Arc<Step>, usize)>,
+    steps: VecDeque<(Arc<DeltaStep>, usize)>,
     size: usize,
 }
 
@@ -36,13 +36,13 @@
         let (from, print) = (self.at, crc32fast::hash(&raw));
         let old = self.slice.as_ref().filter(|_| from < at);
         match old.and_then(|old| Delta::of(old, &slice)) {
-            Some(delta) => self.push(Step { from, at, print, delta }),
+            Some(delta) => self.push(DeltaStep { from, at, print, delta }),
             None => self.steps.clear(),
         }
         (self.at, self.size, self.slice) = (at, raw.len(), Some(slice));
     }
 
-    fn push(&mut self, step: Step) {
+    fn push(&mut self, step: DeltaStep) {
         let size = bitcode::encode(&step).len();
         self.steps.push_back((Arc::new(step), size));
         if self.steps.len() > STEPS {
@@ -50,7 +50,7 @@
         }
     }
 
-    pub fn follow(&mut self, steps: &[Arc<Step>]) -> bool {
+    pub fn follow(&mut self, steps: &[Arc<DeltaStep>]) -> bool {
         let first = steps.iter().position(|s| s.from == self.at);
         let (Some(first), Some(old)) = (first, &self.slice) else { return false };
         let mut slice = Slice::clone(old);
@@ -63,21 +63,21 @@
         if steps.last().is_none_or(|s| s.print != crc32fast::hash(&raw)) {
             return false;
         }
-        steps[first..].iter().for_each(|s| self.push(Step::clone(s)));
+        steps[first..].iter().for_each(|s| self.push(DeltaStep::clone(s)));
         (self.at, self.size, self.slice) = (at, raw.len(), Some(Arc::new(slice)));
         true
     }
 
-    pub fn body(&self, old: Version) -> Body {
-        let Some(slice) = &self.slice else { return Body::Same };
+    pub fn body(&self, old: Version) -> UpdateBody {
+        let Some(slice) = &self.slice else { return UpdateBody::Same };
         if old == self.at && old > Version(0) {
-            return Body::Same;
+            return UpdateBody::Same;
         }
         let first = self.steps.iter().position(|s| s.0.from == old && old > Version(0));
         let steps = first.map(|n| self.steps.range(n..));
         match steps.filter(|s| s.clone().map(|s| s.1).sum::<usize>() < self.size) {
-            Some(steps) => Body::Steps(steps.map(|s| s.0.clone()).collect()),
-            None => Body::Whole(slice.clone()),
+            Some(steps) => UpdateBody::Steps(steps.map(|s| s.0.clone()).collect()),
+            None => UpdateBody::Whole(slice.clone()),
         }
     }
 }
--- a/src/distribution/messages.rs
+++ b/src/distribution/messages.rs
@@ -1,6 +1,6 @@
 //! Messages that carry committed state to routers.
 
-use super::history::Body;
+use super::history::UpdateBody;
 use crate::fleet::state::Scope;
 use crate::kernel::ids::{NodeId, Version, ViewNo};
 use crate::kernel::time::Span;
@@ -13,7 +13,7 @@
     pub scope: Scope,
     pub at: Version,
     pub age: Span,
-    pub body: Body,
+    pub body: UpdateBody,
 }
 
 /// The order in which applications for serving leases came to the heads of the chain.
--- a/src/distribution/pace.rs
+++ b/src/distribution/pace.rs
@@ -12,44 +12,44 @@
 
 /// Something that is due at times.
 #[derive(Default)]
-pub(super) struct Due {
+pub(super) struct Timer {
     at: Time,
 }
 
-impl Due {
+impl Timer {
     /// Whether it is due; if so, it is due again after `wait`, drawn a little longer.
-    pub(super) fn came(&mut self, wait: Span, ctx: &mut Context) -> bool {
-        let came = ctx.now >= self.at;
-        if came {
+    pub(super) fn take_due(&mut self, wait: Span, ctx: &mut Context) -> bool {
+        let take_due = ctx.now >= self.at;
+        if take_due {
             self.at = ctx.now + wait + Span(ctx.rand.below(wait.0 / 8));
         }
-        came
+        take_due
     }
 }
 
 /// Questions to the core that are asked more and more rarely while they do not help, down to a rate that the core
 /// bears from all routers at once.
 #[derive(Default)]
-pub(super) struct Retry {
-    due: Due,
+pub(super) struct Backoff {
+    due: Timer,
     in_vain: u32,
 }
 
-impl Retry {
+impl Backoff {
     /// Whether the next question may be asked.
-    pub(super) fn came(&mut self, ctx: &mut Context) -> bool {
+    pub(super) fn take_due(&mut self, ctx: &mut Context) -> bool {
         let wait = Span(FIRST.0 << self.in_vain.min(16)).min(longest(ctx.views));
-        self.due.came(wait, ctx)
+        self.due.take_due(wait, ctx)
     }
 
     /// A question was asked, or there was none to ask.
-    pub(super) fn asked(&mut self, any: bool) {
+    pub(super) fn record_attempt(&mut self, any: bool) {
         self.in_vain = if any { self.in_vain + 1 } else { 0 };
     }
 
     /// There is a reason to ask at once: once, as all routers may have it.
-    pub(super) fn hurry(&mut self) {
-        self.due = Due::default();
+    pub(super) fn reset(&mut self) {
+        self.due = Timer::default();
     }
 }
 
--- a/src/distribution/reader.rs
+++ b/src/distribution/reader.rs
@@ -1,4 +1,4 @@
-use super::history::{Body, ChangeHistory};
+use super::history::{ChangeHistory, UpdateBody};
 use crate::fleet::slice::Slice;
 use crate::fleet::state::Scope;
 use crate::kernel::ids::*;
@@ -6,7 +6,7 @@
 use crate::msg::TopicUpdate;
 use std::collections::BTreeMap;
 
-pub const FRESH: Span = Span::ms(2000);
+pub const FRESHNESS_LIMIT: Span = Span::ms(2000);
 /// How long a serving lease runs where the settings say nothing: `FRESH`, and what an acknowledgement may wait.
 pub const SERVING_LEASE: Span = Span::ms(4500);
 const KEEP: u64 = 256;
@@ -26,7 +26,7 @@
     pub started: Time,
 }
 
-pub struct Learnt {
+pub struct TopicChange {
     pub scope: Scope,
     pub at: Version,
     pub slice: Option<Slice>,
@@ -36,12 +36,14 @@
 impl Topic {
     fn take(&mut self, item: &TopicUpdate) -> bool {
         let done = match &item.body {
-            Body::Same => return false,
-            Body::Whole(slice) => {
+            UpdateBody::Same => return false,
+            UpdateBody::Whole(slice) => {
                 self.history.raise(item.at, slice.clone());
                 true
             }
-            Body::Steps(steps) => steps.last().is_some_and(|s| s.at == item.at) && self.history.follow(steps),
+            UpdateBody::Steps(steps) => {
+                steps.last().is_some_and(|s| s.at == item.at) && self.history.follow(steps)
+            }
         };
         self.torn = !done;
         done
@@ -67,7 +69,7 @@
         topic.map_or(Version(0), |t| t.history.at)
     }
 
-    pub fn told(&mut self, nonce: u64, items: &[TopicUpdate]) -> Vec<Learnt> {
+    pub fn told(&mut self, nonce: u64, items: &[TopicUpdate]) -> Vec<TopicChange> {
         let Some(sent) = self.asks.get(&nonce).copied() else { return vec![] };
         let mut out = Vec::new();
         for item in items {
@@ -90,7 +92,7 @@
         out
     }
 
-    pub fn pushed(&mut self, items: &[TopicUpdate]) -> Vec<Learnt> {
+    pub fn pushed(&mut self, items: &[TopicUpdate]) -> Vec<TopicChange> {
         let mut out = Vec::new();
         for item in items {
             let Some(topic) = self.topics.get_mut(&item.scope) else { continue };
@@ -108,7 +110,7 @@
     }
 }
 
-fn learnt(item: &TopicUpdate, topic: &Topic, new: bool, proven: Time) -> Learnt {
+fn learnt(item: &TopicUpdate, topic: &Topic, new: bool, proven: Time) -> TopicChange {
     let slice = topic.history.slice.as_ref().filter(|_| new).map(|s| Slice::clone(s));
-    Learnt { scope: item.scope.clone(), at: topic.history.at, slice, proven }
+    TopicChange { scope: item.scope.clone(), at: topic.history.at, slice, proven }
 }
--- a/src/distribution/relay_node.rs
+++ b/src/distribution/relay_node.rs
@@ -1,5 +1,5 @@
-use super::pace::{Due, Retry};
-use super::reader::{Learnt, Reader, Topic};
+use super::pace::{Backoff, Timer};
+use super::reader::{Reader, Topic, TopicChange};
 use super::serving_lease::ServingLease;
 use super::subscribers::Subscribers;
 use crate::fleet::slice::Slice;
@@ -23,9 +23,9 @@
 
 pub struct Distribution {
     pub reader: Reader,
-    tail: Due,
-    home: Due,
-    late: Retry,
+    tail: Timer,
+    home: Timer,
+    late: Backoff,
     rounds: u64,
     learnt: Time,
     mine: BTreeMap<Scope, Time>,
@@ -36,7 +36,7 @@
 pub fn scope_name(scope: &Scope) -> String {
     match scope {
         Scope::Routes => "routes".into(),
-        Scope::Trial => "trial".into(),
+        Scope::Candidate => "trial".into(),
         Scope::Duty => "duty".into(),
         Scope::Service(n) => format!("service:{n}"),
     }
@@ -46,12 +46,12 @@
     pub fn new(started: Time) -> Distribution {
         let mut reader = Reader::new(started);
         reader.topics.insert(Scope::Routes, Topic::default());
-        reader.topics.insert(Scope::Trial, Topic::default());
+        reader.topics.insert(Scope::Candidate, Topic::default());
         Distribution {
             reader,
-            tail: Due::default(),
-            home: Due::default(),
-            late: Retry::default(),
+            tail: Timer::default(),
+            home: Timer::default(),
+            late: Backoff::default(),
             rounds: 0,
             learnt: started,
             mine: BTreeMap::new(),
@@ -78,16 +78,16 @@
 
     fn tick(&mut self, ctx: &mut Context) {
         let lively = ctx.now.since(self.learnt) < LIVELY;
-        let to_tail = self.tail.came(ASK, ctx);
-        let to_home = self.home.came(if lively { ASK } else { IDLE }, ctx);
-        let late = self.late.came(ctx);
+        let to_tail = self.tail.take_due(ASK, ctx);
+        let to_home = self.home.take_due(if lively { ASK } else { IDLE }, ctx);
+        let late = self.late.take_due(ctx);
         if !to_tail && !to_home && !late {
             return;
         }
         self.mine.retain(|_, t| ctx.now.since(*t) < WANTED);
         let tail = ctx.views.view.as_ref().and_then(|v| v.tail());
         let routers = self.routers(ctx);
-        let proof = ctx.me.proof.0;
+        let proof = ctx.me.freshness_limit.0;
         let patience = Span(LATE.0.min(proof * 35 / 100) + mix(ctx.me.node.0) % SPREAD);
         let despair = Span(LOST.0.min(proof * 60 / 100));
         let mut homes: BTreeMap<NodeId, Vec<(Scope, Version)>> = BTreeMap::new();
@@ -110,7 +110,7 @@
             }
         }
         if late {
-            self.late.asked(!missed.is_empty() || !lost.is_empty());
+            self.late.record_attempt(!missed.is_empty() || !lost.is_empty());
         }
         owned.append(&mut missed);
         if let Some(tail) = tail {
@@ -153,7 +153,7 @@
         ctx.send(from, Msg::UpdateReply { nonce, items });
     }
 
-    fn learn(&mut self, rows: Vec<Learnt>, ctx: &mut Context) {
+    fn learn(&mut self, rows: Vec<TopicChange>, ctx: &mut Context) {
         let mut pushes: BTreeMap<NodeId, Vec<TopicUpdate>> = BTreeMap::new();
         for l in rows {
             if let Some(Slice::Routes(routes)) = &l.slice {
@@ -172,8 +172,8 @@
                     }
                 }
             }
-            let Learnt { scope, at, slice, proven } = l;
-            ctx.out.push(Effect::Learn { scope, at, slice, proven });
+            let TopicChange { scope, at, slice, proven } = l;
+            ctx.effects.push(Effect::TopicUpdate { scope, at, slice, proven });
         }
         for (to, items) in pushes {
             ctx.send(to, Msg::UpdatePush { items });
@@ -183,7 +183,7 @@
 
     fn hurry(&mut self, ctx: &mut Context) {
         (self.tail, self.home) = Default::default();
-        self.late.hurry();
+        self.late.reset();
         self.tick(ctx);
     }
 }
@@ -199,7 +199,7 @@
                 self.tick(ctx);
                 self.request_lease(ctx);
             }
-            Event::Mail { from, msg, .. } => match msg {
+            Event::Message { from, msg, .. } => match msg {
                 Msg::UpdateRequest { nonce, direct: false, have } => self.asked(*from, *nonce, have, ctx),
                 Msg::UpdateReply { nonce, items } => {
                     let rows = self.reader.told(*nonce, items);
@@ -210,7 +210,7 @@
                     self.learn(rows, ctx);
                 }
                 Msg::ServingLeaseGrant(grant) => self.lease_granted(grant, ctx),
-                Msg::Nudge => self.hurry(ctx),
+                Msg::RequestUpdates => self.hurry(ctx),
                 Msg::UpdateRefused { view: Some(v), .. } if ctx.views.older(v) => {
                     ctx.publish(JournalEvent::ViewHeard(v.clone()));
                     self.hurry(ctx);
--- a/src/distribution/serving_lease.rs
+++ b/src/distribution/serving_lease.rs
@@ -107,7 +107,7 @@
 /// How often a lease is renewed while nothing changes.
 fn renewal_interval(ctx: &Context) -> Span {
     let routers = ctx.views.members.iter().filter(|row| row.who.role == Role::Router).count() as u64;
-    let longest = Span(ctx.me.lease.0.saturating_sub(ctx.me.proof.0) / RENEWAL_SHARE);
+    let longest = Span(ctx.me.serving_lease.0.saturating_sub(ctx.me.freshness_limit.0) / RENEWAL_SHARE);
     let wanted = Span(RENEWAL_PER_ROUTER.0 * routers);
     RENEWAL_INTERVAL.max(wanted.min(longest))
 }
@@ -115,7 +115,7 @@
 impl Distribution {
     /// Asks the head, which passes it along the chain; the same letter confirms what this router has.
     pub(super) fn request_lease(&mut self, ctx: &mut Context) {
-        if ctx.me.lease <= ctx.me.proof {
+        if ctx.me.serving_lease <= ctx.me.freshness_limit {
             return;
         }
         let Some(head) = ctx.views.view.as_ref().and_then(|v| v.head()) else { return };
@@ -127,7 +127,7 @@
 
     pub(super) fn lease_granted(&mut self, grant: &ServingLeaseGrant, ctx: &mut Context) {
         if let Some(Leased { scopes, until }) = self.lease.granted(grant) {
-            ctx.out.push(Effect::Leased { scopes, until });
+            ctx.effects.push(Effect::ServingLease { scopes, until });
         }
     }
 }
--- a/src/distribution/subscribers.rs
+++ b/src/distribution/subscribers.rs
@@ -1,4 +1,4 @@
-use super::history::{Body, ChangeHistory};
+use super::history::{ChangeHistory, UpdateBody};
 use crate::fleet::state::{FleetState, Scope};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
@@ -65,7 +65,7 @@
         for (scope, old) in have {
             let history = self.fresh(scope, state);
             let at = history.at;
-            let body = if at < *old { Body::Same } else { history.body(*old) };
+            let body = if at < *old { UpdateBody::Same } else { history.body(*old) };
             items.push(TopicUpdate { scope: scope.clone(), at, age: Span(0), body });
             self.subscribers.note(from, scope, at.max(*old), now);
         }
--- a/src/explore/cluster.rs
+++ b/src/explore/cluster.rs
@@ -7,7 +7,7 @@
 use super::scope::Spent;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
-use crate::msg::{Event, JournalEvent, Msg, Op, Row};
+use crate::msg::{Event, JournalEvent, Msg, OperatorCall, Row};
 use std::sync::Arc;
 
 /// The sender of operators' changes and reads.
@@ -126,13 +126,13 @@
         process.handed.push((id, clock));
         let fleet = process.views.fleet;
         Arc::make_mut(&mut self.history).submitted += 1;
-        let msg = Msg::Op { id, attempt, op: Op::Runners(vec![]) };
-        self.feed(place, Event::Mail { from: CLIENT, fleet, msg });
+        let msg = Msg::OperatorCall { id, attempt, op: OperatorCall::SetRunners(vec![]) };
+        self.feed(place, Event::Message { from: CLIENT, fleet, msg });
     }
 
     /// The process is told to stop: it leaves the chain before it ends.
     pub fn warn(&mut self, place: usize) {
-        self.feed(place, Event::Warned);
+        self.feed(place, Event::StopAnnounced);
     }
 
     /// Membership tells `to` what `from` knows: whether there is a fleet, and the newest view.
@@ -141,7 +141,7 @@
         let (node, fleet, view) =
             (self.replicas[from].me.node, source.views.fleet, source.views.view.clone());
         let empty = fleet == FleetId(0);
-        self.feed(to, Event::Mail { from: node, fleet, msg: Msg::Welcome { empty, gossip: None } });
+        self.feed(to, Event::Message { from: node, fleet, msg: Msg::Welcome { empty, gossip: None } });
         let Some(view) = view else { return };
         let Some(target) = &mut self.replica(to).process else { return };
         if target.views.fleet == fleet && target.views.older(&view) {
--- a/src/explore/delivery.rs
+++ b/src/explore/delivery.rs
@@ -41,7 +41,7 @@
         let mine = self.replicas[place].process.as_ref()?.views.fleet;
         let foreign = mine.0 != 0 && flight.fleet.0 != 0 && mine != flight.fleet;
         let msg = Msg::clone(&flight.msg);
-        (!foreign).then_some((place, Event::Mail { from: flight.from, fleet: flight.fleet, msg }))
+        (!foreign).then_some((place, Event::Message { from: flight.from, fleet: flight.fleet, msg }))
     }
 
     pub(super) fn feed(&mut self, place: usize, event: Event) {
@@ -98,8 +98,8 @@
         let mut own = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Send { to, msg } if to == me => own.push(Event::Mail { from: me, fleet, msg }),
-                Effect::Send { to, msg: Msg::OpEnd { id, answer, .. } } if to == CLIENT => {
+                Effect::Send { to, msg } if to == me => own.push(Event::Message { from: me, fleet, msg }),
+                Effect::Send { to, msg: Msg::CallAnswer { id, answer, .. } } if to == CLIENT => {
                     self.answered(id, answer.status);
                 }
                 Effect::Send { to, msg } => self.post(me, to, fleet, msg),
--- a/src/explore/replica.rs
+++ b/src/explore/replica.rs
@@ -4,12 +4,12 @@
 use crate::chain::Chain;
 use crate::chain::change_queue::ChangeQueue;
 use crate::chain::serving_leases::ServingLeases;
-use crate::kernel::component::{Component, Context, Me, Views};
+use crate::kernel::component::{Component, Context, LocalNode, Views};
 use crate::kernel::disk::Disk;
-use crate::kernel::hold::{Hold, Job, write};
+use crate::kernel::hold::{SyncGate, WriteBatch, write_batch};
 use crate::kernel::ids::*;
 use crate::kernel::node::Node;
-use crate::kernel::rand::{Rand, Seeded};
+use crate::kernel::rand::{Rand, SeededRandom};
 use crate::kernel::time::{Span, Time};
 use crate::msg::{Effect, Event, Member, Record, Role, Row};
 use std::collections::VecDeque;
@@ -33,8 +33,8 @@
     pub queue: ChangeQueue,
     pub serving: ServingLeases,
     pub views: Views,
-    pub gate: Hold,
-    pub jobs: VecDeque<Job>,
+    pub gate: SyncGate,
+    pub jobs: VecDeque<WriteBatch>,
     /// Changes that an operator handed to this process.
     pub handed: Vec<(ChangeId, Time)>,
     random: u64,
@@ -43,7 +43,7 @@
 /// A machine: its disk, and the process on it while it runs.
 #[derive(Clone)]
 pub struct Replica {
-    pub me: Me,
+    pub me: LocalNode,
     pub place: usize,
     pub generation: u64,
     pub starts: u64,
@@ -75,7 +75,7 @@
     }
 }
 
-struct LentRandom(Arc<Mutex<Seeded>>);
+struct LentRandom(Arc<Mutex<SeededRandom>>);
 
 impl Rand for LentRandom {
     fn next(&mut self) -> u64 {
@@ -96,19 +96,19 @@
 impl Replica {
     pub fn new(place: usize, seeds: &[SocketAddr], bear: usize) -> Replica {
         let addr = address(place);
-        let me = Me {
+        let me = LocalNode {
             node: NodeId(0),
             role: Role::Controller,
             domain: Name(format!("z{place}")),
             addr,
             admin: addr,
             seeds: seeds.iter().copied().filter(|s| *s != addr).collect(),
-            seed: seeds.contains(&addr),
-            core: 0,
-            bear,
-            first: true,
-            proof: PROOF,
-            lease: SERVING_LEASE,
+            is_seed: seeds.contains(&addr),
+            core_size: 0,
+            tolerated_failures: bear,
+            may_found: true,
+            freshness_limit: PROOF,
+            serving_lease: SERVING_LEASE,
             started: Time(0),
         };
         let disk = MemoryDisk::default();
@@ -153,7 +153,7 @@
             queue: ChangeQueue::new(None),
             serving: ServingLeases::default(),
             views: Views::default(),
-            gate: Hold::default(),
+            gate: SyncGate::default(),
             jobs: VecDeque::new(),
             handed: Vec::new(),
             random: node.0 * IDENTS_PER_PLACE + self.starts,
@@ -172,7 +172,7 @@
         self.process = None;
         self.disk = MemoryDisk::default();
         self.generation += 1;
-        self.me.first = false;
+        self.me.may_found = false;
     }
 
     /// Feeds one event to the real node and returns what leaves at once; saves and what waits for them are kept.
@@ -184,17 +184,17 @@
         let (chain, lent_chain) = lend(chain);
         let (queue, lent_queue) = lend(queue);
         let (serving, lent_serving) = lend(serving);
-        let random = Arc::new(Mutex::new(Seeded(random)));
+        let random = Arc::new(Mutex::new(SeededRandom(random)));
         let mut node = Node::new(self.me.clone(), Box::new(LentRandom(random.clone())));
         node.views = views;
-        node.slow = gate.slow(clock);
+        node.is_disk_slow = gate.is_slow(clock);
         node.add(Box::new(lent_chain));
         node.add(Box::new(lent_queue));
         node.add(Box::new(lent_serving));
         let effects = node.feed(clock, event);
         let views = std::mem::take(&mut node.views);
         drop(node);
-        let (free, job) = gate.take(clock, effects);
+        let (free, job) = gate.submit(clock, effects);
         jobs.extend(job);
         let random = random.lock().expect("one thread drives a replica").0;
         let (chain, queue, serving) = (take_back(chain), take_back(queue), take_back(serving));
@@ -206,10 +206,10 @@
     pub fn sync(&mut self, now: Time) -> Vec<Effect> {
         let clock = self.clock(now);
         let Some(process) = &mut self.process else { return vec![] };
-        let Some(last) = process.jobs.back().map(|j| j.no) else { return vec![] };
+        let Some(last) = process.jobs.back().map(|j| j.number) else { return vec![] };
         self.disk.write_all(&process.jobs);
         process.jobs.clear();
-        process.gate.synced(clock, last)
+        process.gate.release_synced(clock, last)
     }
 
     pub fn has_unsynced(&self) -> bool {
@@ -223,9 +223,9 @@
 }
 
 impl MemoryDisk {
-    fn write_all(&mut self, jobs: &VecDeque<Job>) {
+    fn write_all(&mut self, jobs: &VecDeque<WriteBatch>) {
         for job in jobs {
-            write(self, &job.rows).expect("a disk in memory takes all");
+            write_batch(self, &job.writes).expect("a disk in memory takes all");
         }
     }
 }
--- a/src/explore/walk.rs
+++ b/src/explore/walk.rs
@@ -6,7 +6,7 @@
 use super::scope::{Grain, Scope, Spent};
 use super::search::Counterexample;
 use super::step::{Disturbance, Step};
-use crate::kernel::rand::{Rand, Seeded};
+use crate::kernel::rand::{Rand, SeededRandom};
 use std::sync::Arc;
 
 /// Messages under way beyond which the oldest is lost.
@@ -54,7 +54,7 @@
 }
 
 fn walk(scope: &Scope, root: &Cluster, seed: u64, length: usize) -> (Vec<Step>, Cluster) {
-    let mut random = Seeded(seed);
+    let mut random = SeededRandom(seed);
     let mut state = root.clone();
     let mut trace = Vec::new();
     while trace.len() < length && state.violation.is_none() {
@@ -65,7 +65,7 @@
     (trace, state)
 }
 
-fn choose(state: &Cluster, scope: &Scope, random: &mut Seeded) -> Option<Step> {
+fn choose(state: &Cluster, scope: &Scope, random: &mut SeededRandom) -> Option<Step> {
     if state.flights.len() > MOST_FLIGHTS {
         return state.flights.first().map(|f| Step::Drop { flight: f.number });
     }
@@ -106,7 +106,7 @@
     )
 }
 
-fn perhaps_disturbed(state: &Cluster, scope: &Scope, step: Step, random: &mut Seeded) -> Step {
+fn perhaps_disturbed(state: &Cluster, scope: &Scope, step: Step, random: &mut SeededRandom) -> Step {
     let Step::Exchange { group, span, .. } = step else { return step };
     if state.spent.disturbances >= scope.most.disturbances || random.below(DISTURBED_IN) != 0 {
         return step;
--- a/src/fleet/check.rs
+++ b/src/fleet/check.rs
@@ -39,10 +39,10 @@
         if !names.insert(s.name.clone()) {
             say(format!("{path}.name"), format!("\"{}\" is given twice", s.name), "rename or drop one");
         }
-        if s.sort == Sort::Plain && !(s.models.is_empty() && s.adapters.is_empty()) {
+        if s.sort == ServiceKind::Plain && !(s.models.is_empty() && s.adapters.is_empty()) {
             say(path.clone(), "a plain service lists models".into(), "set sort to assistant or drop them");
         }
-        if s.sort == Sort::Assistant && s.models.is_empty() {
+        if s.sort == ServiceKind::Assistant && s.models.is_empty() {
             say(format!("{path}.models"), "is empty".into(), "name at least one model");
         }
         let mut twice = BTreeSet::new();
@@ -88,7 +88,7 @@
             say(place, format!("service \"{}\" is unknown", s.service), "name a service listed here");
             continue;
         };
-        if row.sort == Sort::Assistant && !row.models.contains(&s.model) {
+        if row.sort == ServiceKind::Assistant && !row.models.contains(&s.model) {
             say(place, format!("model \"{}\" is unknown there", s.model), "name one of its models");
         }
     }
--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -1,4 +1,4 @@
-use super::former::Former;
+use super::former::FormerWeight;
 use super::named::{Named, NamedList};
 use super::tenants::Tenant;
 use crate::kernel::ids::Name;
@@ -13,14 +13,14 @@
     pub budget: Budget,
     pub moving: Moving,
     pub rollout: Rollout,
-    pub placement: Placing,
+    pub placement: PlacementSettings,
     pub models: NamedList<Model>,
     pub adapters: NamedList<Adapter>,
     pub services: Vec<Service>,
     /// Who may send requests; without any, everybody may.
     pub tenants: NamedList<Tenant>,
     /// What runners may still hold of earlier configurations.
-    pub former: NamedList<Former>,
+    pub former: NamedList<FormerWeight>,
 }
 
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
@@ -66,15 +66,15 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Encode, Decode)]
-pub enum Ways {
+pub enum PlacementStrategy {
     Least,
     Greedy,
 }
 
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub struct Placing {
+pub struct PlacementSettings {
     pub auto: bool,
-    pub way: Ways,
+    pub way: PlacementStrategy,
     pub stage: Allowance,
 }
 
@@ -108,7 +108,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Encode, Decode)]
-pub enum Sort {
+pub enum ServiceKind {
     Assistant,
     Plain,
 }
@@ -124,7 +124,7 @@
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct Service {
     pub name: Name,
-    pub sort: Sort,
+    pub sort: ServiceKind,
     pub inbox: u64,
     pub slots: u64,
     pub links: u64,
--- a/src/fleet/defaults.rs
+++ b/src/fleet/defaults.rs
@@ -40,9 +40,13 @@
     }
 }
 
-impl Default for Placing {
-    fn default() -> Placing {
-        Placing { auto: true, way: Ways::Least, stage: Allowance { ms: 60_000, tries: 3 } }
+impl Default for PlacementSettings {
+    fn default() -> PlacementSettings {
+        PlacementSettings {
+            auto: true,
+            way: PlacementStrategy::Least,
+            stage: Allowance { ms: 60_000, tries: 3 },
+        }
     }
 }
 
--- a/src/fleet/fold.rs
+++ b/src/fleet/fold.rs
@@ -31,27 +31,28 @@
     }
 
     fn propose(&mut self, id: ChangeId, base: Version, config: &super::FleetConfig) {
-        if self.decision(id).is_some() || self.trial.as_ref().is_some_and(|t| t.id == id) {
+        if self.decision(id).is_some() || self.candidate.as_ref().is_some_and(|t| t.id == id) {
             return;
         }
-        if base != self.config_at {
-            let text = format!("base {base} is not the current {}; read it and send again", self.config_at);
+        if base != self.config_version {
+            let text =
+                format!("base {base} is not the current {}; read it and send again", self.config_version);
             return self.end(id, OutcomeCode::StaleBase, text, vec![]);
         }
-        if let Some(old) = &self.trial {
+        if let Some(old) = &self.candidate {
             let text = format!("change {} is under rehearsal; send again once it has ended", old.id);
             return self.end(id, OutcomeCode::ChangePending, text, vec![]);
         }
-        self.trial = Some(Candidate { id, at: self.at, config: Box::new(config.clone()) });
-        self.touch(Scope::Trial);
+        self.candidate = Some(Candidate { id, at: self.at, config: Box::new(config.clone()) });
+        self.touch(Scope::Candidate);
     }
 
     fn settle(&mut self, id: ChangeId, verdict: &Verdict, stages: &[StageFigure]) {
-        if self.trial.as_ref().is_none_or(|t| t.id != id) {
+        if self.candidate.as_ref().is_none_or(|t| t.id != id) {
             return;
         }
-        let Some(t) = self.trial.take() else { return };
-        self.touch(Scope::Trial);
+        let Some(t) = self.candidate.take() else { return };
+        self.touch(Scope::Candidate);
         let Verdict::Commit = verdict else {
             let Verdict::Refuse(why) = verdict else { return };
             return self.end(id, OutcomeCode::RehearsalFailed, why.clone(), stages.to_vec());
@@ -63,7 +64,7 @@
     fn take_config(&mut self, mut new: super::FleetConfig) {
         new.former = remembered(&self.config, &new);
         let old = std::mem::replace(&mut self.config, new);
-        self.config_at = self.at;
+        self.config_version = self.at;
         let all: Vec<Name> =
             old.services.iter().chain(&self.config.services).map(|s| s.name.clone()).collect();
         for name in all {
@@ -151,14 +152,14 @@
         if self.decision(id).is_some() || self.moves.iter().any(|m| m.id == plan.id) {
             return;
         }
-        let busy = self.live_moves().find(|m| m.clashes(plan));
+        let busy = self.active_moves().find(|m| m.conflicts_with(plan));
         if let Some(m) = busy {
             let text = format!("move {} holds one of the two runners; wait for its end", m.id);
             return self.end(id, OutcomeCode::MovePending, text, vec![]);
         }
         self.moves.push(plan.clone());
         if self.moves.len() > MOVES {
-            let old = self.moves.iter().position(|m| !m.live()).unwrap_or(0);
+            let old = self.moves.iter().position(|m| !m.is_active()).unwrap_or(0);
             self.moves.remove(old);
         }
         self.touch(Scope::Service(plan.service.clone()));
@@ -170,7 +171,7 @@
         if self.duty.as_ref().is_some_and(|d| d.term != term) {
             return;
         }
-        let Some(m) = self.moves.iter_mut().find(|m| m.id == id && m.live()) else { return };
+        let Some(m) = self.moves.iter_mut().find(|m| m.id == id && m.is_active()) else { return };
         m.phase = phase;
         m.why = why.to_string();
         m.stages.extend(stage.clone());
--- a/src/fleet/fold_plan.rs
+++ b/src/fleet/fold_plan.rs
@@ -8,7 +8,7 @@
     pub fn fold_plan(&mut self, term: Term, plan: &PlacementPlan, asked: Option<ChangeId>) {
         let known = self.plans.iter().any(|p| p.id == plan.id);
         let old = self.duty.as_ref().is_some_and(|d| d.term != term);
-        if known || old || plan.config_at != self.config_at {
+        if known || old || plan.config_version != self.config_version {
             return;
         }
         let mut plan = plan.clone();
@@ -24,7 +24,7 @@
         };
         self.plans.push(plan);
         while self.plans.len() > PLANS {
-            let ended = |p: &PlacementPlan| !p.live() && p.state != PlanState::Proposed;
+            let ended = |p: &PlacementPlan| !p.is_running() && p.state != PlanState::Proposed;
             let old = self.plans.iter().position(ended).unwrap_or(0);
             self.plans.remove(old);
         }
@@ -51,12 +51,12 @@
         }
         let open = self.plans.iter().find(|p| p.state == PlanState::Proposed).map(|p| p.at);
         let current = open.map_or("none is proposed".into(), |v| format!("the current one is {v}"));
-        let config_at = self.config_at;
+        let config_version = self.config_version;
         let found = self.plans.iter_mut().find(|p| p.at == at);
         let text = match found {
             None => format!("no plan has version {at}; {current}"),
             Some(p) if p.state != PlanState::Proposed => format!("plan {at} is {}; {current}", p.state),
-            Some(p) if p.config_at != config_at => {
+            Some(p) if p.config_version != config_version => {
                 p.state = PlanState::Superseded;
                 format!("plan {at} was made for another configuration; propose again")
             }
@@ -73,7 +73,7 @@
         if self.duty.as_ref().is_some_and(|d| d.term != term) {
             return;
         }
-        let Some(p) = self.plans.iter_mut().find(|p| p.id == id && p.live()) else { return };
+        let Some(p) = self.plans.iter_mut().find(|p| p.id == id && p.is_running()) else { return };
         let n = p.stage as usize;
         if let Some(s) = p.stages.get_mut(n) {
             s.spent = Some(figure.clone());
--- a/src/fleet/former.rs
+++ b/src/fleet/former.rs
@@ -15,42 +15,42 @@
 
 /// A model or adapter as earlier configurations had it.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub struct Former {
+pub struct FormerWeight {
     /// Its name.
     pub name: Name,
     /// The least weight it had.
-    pub least_mb: u64,
+    pub min_mb: u64,
     /// The greatest weight it had.
-    pub most_mb: u64,
+    pub max_mb: u64,
     /// The model it belonged to, if it was an adapter.
     pub base: Option<Name>,
 }
 
-impl Named for Former {
+impl Named for FormerWeight {
     fn name(&self) -> &Name {
         &self.name
     }
 }
 
-impl Former {
-    fn of(name: &Name, mb: u64, base: Option<&Name>) -> Former {
-        Former { name: name.clone(), least_mb: mb, most_mb: mb, base: base.cloned() }
+impl FormerWeight {
+    fn of(name: &Name, mb: u64, base: Option<&Name>) -> FormerWeight {
+        FormerWeight { name: name.clone(), min_mb: mb, max_mb: mb, base: base.cloned() }
     }
 }
 
 /// What is remembered once `new` takes the place of `old`.
-pub fn remembered(old: &FleetConfig, new: &FleetConfig) -> NamedList<Former> {
+pub fn remembered(old: &FleetConfig, new: &FleetConfig) -> NamedList<FormerWeight> {
     if old.models == new.models && old.adapters == new.adapters {
         return old.former.clone();
     }
-    let models = old.models.iter().map(|m| Former::of(&m.name, m.weight_mb, None));
-    let adapters = old.adapters.iter().map(|a| Former::of(&a.name, a.weight_mb, Some(&a.model)));
-    let changed = models.chain(adapters).filter(|f| new.weight(&f.name) != Some(f.most_mb));
-    let mut rows: Vec<Former> = old.former.to_vec();
+    let models = old.models.iter().map(|m| FormerWeight::of(&m.name, m.weight_mb, None));
+    let adapters = old.adapters.iter().map(|a| FormerWeight::of(&a.name, a.weight_mb, Some(&a.model)));
+    let changed = models.chain(adapters).filter(|f| new.weight(&f.name) != Some(f.max_mb));
+    let mut rows: Vec<FormerWeight> = old.former.to_vec();
     for mut former in changed {
         if let Some(known) = old.former.named(&former.name) {
-            former.least_mb = former.least_mb.min(known.least_mb);
-            former.most_mb = former.most_mb.max(known.most_mb);
+            former.min_mb = former.min_mb.min(known.min_mb);
+            former.max_mb = former.max_mb.max(known.max_mb);
             rows.retain(|f| f.name != former.name);
         }
         rows.push(former);
@@ -62,14 +62,14 @@
 
 impl FleetConfig {
     /// The most that a runner's copy of `name` may take, of whatever configuration it is; none if that is not known.
-    pub fn most_mb(&self, name: &Name) -> Option<u64> {
-        let former = self.former.named(name).map(|f| f.most_mb);
+    pub fn max_mb(&self, name: &Name) -> Option<u64> {
+        let former = self.former.named(name).map(|f| f.max_mb);
         self.weight(name).max(former)
     }
 
     /// The least that an unload of a runner's copy of `name` frees.
-    pub fn least_mb(&self, name: &Name) -> Option<u64> {
-        let former = self.former.named(name).map(|f| f.least_mb);
+    pub fn min_mb(&self, name: &Name) -> Option<u64> {
+        let former = self.former.named(name).map(|f| f.min_mb);
         match (self.weight(name), former) {
             (Some(now), Some(former)) => Some(now.min(former)),
             (now, former) => now.or(former),
--- a/src/fleet/holdings.rs
+++ b/src/fleet/holdings.rs
@@ -1,12 +1,12 @@
 use super::config::Class;
-use super::runner::Report;
+use super::runner::RunnerReport;
 use crate::kernel::ids::*;
 use crate::kernel::time::Span;
 use bitcode::{Decode, Encode};
 
 /// A model or adapter that orders wait for and that no staying runner holds.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub struct Want {
+pub struct UnmetDemand {
     pub service: Name,
     pub name: Name,
     pub class: Class,
@@ -15,12 +15,12 @@
 
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct Holding {
-    pub report: Report,
+    pub report: RunnerReport,
     pub closing: Vec<Name>,
 }
 
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub struct HeldRow {
+pub struct RunnerHoldings {
     pub runner: Name,
     pub running: u64,
     pub waiting: u64,
@@ -31,7 +31,7 @@
 
 /// What the holder of the placement duty tells routers of the runners' holdings.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub struct HeldTell {
+pub struct HoldingsUpdate {
     /// Who holds the duty.
     pub holder: NodeId,
     /// Its term.
@@ -43,21 +43,21 @@
     /// Whether the router that gets it passes it on to the others of its zone.
     pub relay: bool,
     /// The runners and what they hold.
-    pub rows: Vec<HeldRow>,
+    pub rows: Vec<RunnerHoldings>,
 }
 
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub struct UseTell {
+pub struct NameUsage {
     pub service: Name,
     pub name: Name,
     pub idle: Span,
     pub milli_per_s: u64,
 }
 
-impl HeldRow {
-    pub fn of(runner: &Name, r: &Report, closing: &[Name], silent: bool) -> HeldRow {
-        let report = Report { runs: vec![], running: 0, waiting: 0, tokens: 0, orders: 0, ..r.clone() };
-        HeldRow {
+impl RunnerHoldings {
+    pub fn of(runner: &Name, r: &RunnerReport, closing: &[Name], silent: bool) -> RunnerHoldings {
+        let report = RunnerReport { runs: vec![], running: 0, waiting: 0, tokens: 0, orders: 0, ..r.clone() };
+        RunnerHoldings {
             runner: runner.clone(),
             running: r.running,
             waiting: r.waiting,
@@ -68,22 +68,22 @@
     }
 
     /// What changed since `old`; `None` if nothing did.
-    pub fn after(&self, old: Option<&HeldRow>) -> Option<HeldRow> {
+    pub fn after(&self, old: Option<&RunnerHoldings>) -> Option<RunnerHoldings> {
         if old == Some(self) {
             return None;
         }
         let same = old.is_some_and(|o| o.holding == self.holding);
-        Some(HeldRow { holding: if same { None } else { self.holding.clone() }, ..self.clone() })
+        Some(RunnerHoldings { holding: if same { None } else { self.holding.clone() }, ..self.clone() })
     }
 
     /// Only figures differ from `old`.
-    pub fn minor(&self, old: Option<&HeldRow>) -> bool {
+    pub fn minor(&self, old: Option<&RunnerHoldings>) -> bool {
         old.is_some_and(|o| o.holding == self.holding && o.silent == self.silent)
     }
 }
 
 impl Holding {
-    pub fn open(&self) -> Report {
+    pub fn open(&self) -> RunnerReport {
         let mut r = self.report.clone();
         r.holds.retain(|n| !self.closing.contains(n));
         r
--- a/src/fleet/plan.rs
+++ b/src/fleet/plan.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub enum Step {
+pub enum PlanStep {
     Load { runner: Name, name: Name },
     Unload { runner: Name, name: Name },
     Move { id: MoveId, service: Name, model: Name, from: Name, to: Name, want: Name },
@@ -14,7 +14,7 @@
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct PlanStage {
     pub name: String,
-    pub steps: Vec<Step>,
+    pub steps: Vec<PlanStep>,
     pub ms: u64,
     pub loads: u64,
     pub tries: u64,
@@ -34,7 +34,7 @@
 pub struct PlacementPlan {
     pub id: PlanId,
     pub at: Version,
-    pub config_at: Version,
+    pub config_version: Version,
     pub why: String,
     pub state: PlanState,
     pub stage: u64,
@@ -44,33 +44,33 @@
     pub rehearsal: String,
 }
 
-impl Step {
+impl PlanStep {
     pub fn runners(&self) -> Vec<&Name> {
         match self {
-            Step::Load { runner, .. } | Step::Unload { runner, .. } => vec![runner],
-            Step::Move { from, to, .. } => vec![from, to],
+            PlanStep::Load { runner, .. } | PlanStep::Unload { runner, .. } => vec![runner],
+            PlanStep::Move { from, to, .. } => vec![from, to],
         }
     }
 
     /// What is held at the end of the step that was not before.
     pub fn wanted(&self) -> Option<&Name> {
         match self {
-            Step::Load { name, .. } => Some(name),
-            Step::Unload { .. } => None,
-            Step::Move { want, .. } => Some(want),
+            PlanStep::Load { name, .. } => Some(name),
+            PlanStep::Unload { .. } => None,
+            PlanStep::Move { want, .. } => Some(want),
         }
     }
 }
 
-impl fmt::Display for Step {
+impl fmt::Display for PlanStep {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Step::Load { runner, name } => write!(f, "load {name} on {runner}"),
-            Step::Unload { runner, name } => write!(f, "unload {name} from {runner}"),
-            Step::Move { model, from, to, want, .. } if want.0.is_empty() => {
+            PlanStep::Load { runner, name } => write!(f, "load {name} on {runner}"),
+            PlanStep::Unload { runner, name } => write!(f, "unload {name} from {runner}"),
+            PlanStep::Move { model, from, to, want, .. } if want.0.is_empty() => {
                 write!(f, "move {model} from {from} to {to}")
             }
-            Step::Move { model, from, to, want, .. } => {
+            PlanStep::Move { model, from, to, want, .. } => {
                 write!(f, "move {model} from {from} to {to}, then load {want} on {from}")
             }
         }
@@ -90,15 +90,15 @@
 }
 
 impl PlacementPlan {
-    pub fn live(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.state == PlanState::Running
     }
 
-    pub fn now(&self) -> Option<&PlanStage> {
-        if self.live() { self.stages.get(self.stage as usize) } else { None }
+    pub fn current_stage(&self) -> Option<&PlanStage> {
+        if self.is_running() { self.stages.get(self.stage as usize) } else { None }
     }
 
-    pub fn steps(&self) -> impl Iterator<Item = &Step> {
+    pub fn steps(&self) -> impl Iterator<Item = &PlanStep> {
         self.stages.iter().flat_map(|s| &s.steps)
     }
 
@@ -120,7 +120,7 @@
             ("version", self.at.to_string().into()),
             ("id", self.id.to_string().into()),
             ("state", self.state.to_string().into()),
-            ("configuration", self.config_at.to_string().into()),
+            ("configuration", self.config_version.to_string().into()),
             ("why", self.why.as_str().into()),
             ("rehearsal", self.rehearsal.as_str().into()),
             ("at_stage", self.stage.into()),
--- a/src/fleet/read.rs
+++ b/src/fleet/read.rs
@@ -63,8 +63,9 @@
         let mut s = Reader::new("placement", t);
         c.placement.auto = s.one_of("accept", "auto", &["auto", "ask"]) == "auto";
         let greedy = s.one_of("way", "least", &["least", "greedy"]) == "greedy";
-        c.placement.way = if greedy { Ways::Greedy } else { Ways::Least };
-        c.placement.stage = stage(s.take("stage"), "placement.stage", Placing::default().stage, &mut bad);
+        c.placement.way = if greedy { PlacementStrategy::Greedy } else { PlacementStrategy::Least };
+        c.placement.stage =
+            stage(s.take("stage"), "placement.stage", PlacementSettings::default().stage, &mut bad);
         bad.extend(s.done());
     }
     if let Some(t) = r.take("rollout") {
@@ -125,8 +126,8 @@
     let mut r = Reader::new(&path, t);
     let name = Name(r.name("name"));
     let sort = match r.one_of("sort", "plain", &["assistant", "plain"]).as_str() {
-        "assistant" => Sort::Assistant,
-        _ => Sort::Plain,
+        "assistant" => ServiceKind::Assistant,
+        _ => ServiceKind::Plain,
     };
     let inbox = r.num("inbox", Some(256), 0, 100_000);
     let slots = r.num("slots", Some(8), 1, 10_000);
--- a/src/fleet/runner.rs
+++ b/src/fleet/runner.rs
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, PartialEq, Debug, Default, Encode, Decode)]
-pub struct Report {
+pub struct RunnerReport {
     pub instance: Name,
     pub leaving: bool,
     pub room_mb: u64,
@@ -56,11 +56,11 @@
     pub busy: bool,
 }
 
-impl Report {
-    pub fn read(t: &Tree) -> Option<Report> {
+impl RunnerReport {
+    pub fn read(t: &Tree) -> Option<RunnerReport> {
         let all = |k: &str| t.texts(k).into_iter().map(Name).collect::<Vec<_>>();
         let runs = t.list("runs").iter();
-        Some(Report {
+        Some(RunnerReport {
             instance: Name(t.text("instance")?.to_string()),
             leaving: t.text("state") == Some("leaving"),
             room_mb: t.num("room_mb")?,
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -76,7 +76,11 @@
                 "placement",
                 map(&[
                     ("accept", if self.placement.auto { "auto" } else { "ask" }.into()),
-                    ("way", if self.placement.way == Ways::Greedy { "greedy" } else { "least" }.into()),
+                    (
+                        "way",
+                        if self.placement.way == PlacementStrategy::Greedy { "greedy" } else { "least" }
+                            .into(),
+                    ),
                     ("stage", stage(&self.placement.stage)),
                 ]),
             ),
@@ -121,7 +125,7 @@
     });
     map(&[
         ("name", s.name.0.as_str().into()),
-        ("sort", if s.sort == Sort::Assistant { "assistant" } else { "plain" }.into()),
+        ("sort", if s.sort == ServiceKind::Assistant { "assistant" } else { "plain" }.into()),
         ("inbox", s.inbox.into()),
         ("slots", s.slots.into()),
         ("links", s.links.into()),
@@ -180,13 +184,13 @@
 
 impl FleetState {
     pub fn tree(&self) -> Tree {
-        let trial = self.trial.as_ref().map_or(Tree::Null, |t| t.id.to_string().into());
+        let trial = self.candidate.as_ref().map_or(Tree::Null, |t| t.id.to_string().into());
         let duty = self.duty.as_ref().map_or(Tree::Null, |d| {
             map(&[("holder", d.holder.to_string().into()), ("term", d.term.0.into())])
         });
         map(&[
             ("version", self.at.to_string().into()),
-            ("config_version", self.config_at.to_string().into()),
+            ("config_version", self.config_version.to_string().into()),
             ("rehearsing", trial),
             ("duty", duty),
             ("runners", (self.runners.len() as u64).into()),
@@ -194,12 +198,12 @@
                 "plans",
                 self.plans
                     .iter()
-                    .filter(|p| p.live())
+                    .filter(|p| p.is_running())
                     .map(|p| p.at.to_string().as_str().into())
                     .collect::<Vec<Tree>>()
                     .into(),
             ),
-            ("moves", self.live_moves().map(|m| m.tree()).collect::<Vec<_>>().into()),
+            ("moves", self.active_moves().map(|m| m.tree()).collect::<Vec<_>>().into()),
         ])
     }
 }
--- a/src/fleet/slice.rs
+++ b/src/fleet/slice.rs
@@ -1,6 +1,6 @@
 use super::config::*;
 use super::named::NamedList;
-use super::plan::{PlacementPlan, PlanState, Step};
+use super::plan::{PlacementPlan, PlanState, PlanStep};
 use super::runner::Runner;
 use super::state::*;
 use super::tenants::Tenant;
@@ -11,7 +11,7 @@
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum Slice {
     Routes(RoutesSlice),
-    Trial(Option<Candidate>),
+    Candidate(Option<Candidate>),
     Duty(Box<DutySlice>),
     Service(Box<ServiceSlice>),
     Gone,
@@ -27,7 +27,7 @@
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct DutySlice {
     pub config: FleetConfig,
-    pub config_at: Version,
+    pub config_version: Version,
     pub plans: Vec<PlacementPlan>,
     pub plan_ask: Option<ChangeId>,
     pub duty: Option<Duty>,
@@ -43,7 +43,7 @@
 
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct ServiceSlice {
-    pub config_at: Version,
+    pub config_version: Version,
     pub service: Service,
     pub models: Vec<Model>,
     pub adapters: Vec<Adapter>,
@@ -60,7 +60,7 @@
     pub fn slice(&self, scope: &Scope) -> Slice {
         match scope {
             Scope::Routes => Slice::Routes(RoutesSlice::of(&self.config)),
-            Scope::Trial => Slice::Trial(self.trial.clone()),
+            Scope::Candidate => Slice::Candidate(self.candidate.clone()),
             Scope::Duty => Slice::Duty(Box::new(DutySlice {
                 config: FleetConfig {
                     source: String::new(),
@@ -69,12 +69,12 @@
                 },
                 duty: self.duty.clone(),
                 runners: self.runners.clone(),
-                moves: self.moves.iter().filter(|m| m.live() || self.planned(m.id)).cloned().collect(),
-                config_at: self.config_at,
+                moves: self.moves.iter().filter(|m| m.is_active() || self.planned(m.id)).cloned().collect(),
+                config_version: self.config_version,
                 plans: self
                     .plans
                     .iter()
-                    .filter(|p| p.live() || p.state == PlanState::Proposed)
+                    .filter(|p| p.is_running() || p.state == PlanState::Proposed)
                     .cloned()
                     .collect(),
                 plan_ask: self.plan_ask,
@@ -82,10 +82,10 @@
             Scope::Service(name) => {
                 let Some(service) = self.config.service(name) else { return Slice::Gone };
                 let mut s = service_slice(&self.config, service);
-                s.config_at = self.config_at;
+                s.config_version = self.config_version;
                 s.duty = self.duty.as_ref().map_or(Term(0), |d| d.term);
                 s.runners = self.runners.iter().filter(|r| r.service == *name).cloned().collect();
-                s.moves = self.live_moves().filter(|m| m.service == *name).cloned().collect();
+                s.moves = self.active_moves().filter(|m| m.service == *name).cloned().collect();
                 Slice::Service(Box::new(s))
             }
         }
@@ -94,8 +94,8 @@
 
 impl FleetState {
     fn planned(&self, id: MoveId) -> bool {
-        let same = |x: &Step| matches!(x, Step::Move { id: m, .. } if *m == id);
-        self.plans.iter().filter(|p| p.live()).flat_map(|p| p.steps()).any(same)
+        let same = |x: &PlanStep| matches!(x, PlanStep::Move { id: m, .. } if *m == id);
+        self.plans.iter().filter(|p| p.is_running()).flat_map(|p| p.steps()).any(same)
     }
 }
 
@@ -110,7 +110,7 @@
 
 pub fn service_slice(c: &FleetConfig, service: &Service) -> ServiceSlice {
     ServiceSlice {
-        config_at: Version(0),
+        config_version: Version(0),
         service: service.clone(),
         models: c.models.iter().filter(|m| service.models.contains(&m.name)).cloned().collect(),
         store: c.store.clone(),
@@ -133,10 +133,10 @@
 }
 
 impl Slice {
-    pub fn print(&self) -> (Version, u64) {
+    pub fn fingerprint(&self) -> (Version, u64) {
         match self {
-            Slice::Routes(routes) => (Version(0), routes.print()),
-            Slice::Service(s) => (s.config_at, s.print()),
+            Slice::Routes(routes) => (Version(0), routes.fingerprint()),
+            Slice::Service(s) => (s.config_version, s.fingerprint()),
             _ => (Version(0), 0),
         }
     }
@@ -149,7 +149,7 @@
     }
 
     /// A number that is equal for equal content.
-    pub fn print(&self) -> u64 {
+    pub fn fingerprint(&self) -> u64 {
         hash(&format!("{self:?}"), 1)
     }
 }
@@ -161,7 +161,7 @@
         found.unwrap_or(1000)
     }
 
-    pub fn print(&self) -> u64 {
+    pub fn fingerprint(&self) -> u64 {
         let parts = (&self.service, &self.adapters, &self.budget, &self.moving, &self.limits);
         hash(&format!("{parts:?}"), 2)
     }
--- a/src/fleet/state.rs
+++ b/src/fleet/state.rs
@@ -155,7 +155,7 @@
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug, Encode, Decode)]
 pub enum Scope {
     Routes,
-    Trial,
+    Candidate,
     Duty,
     Service(Name),
 }
@@ -164,8 +164,8 @@
 pub struct FleetState {
     pub at: Version,
     pub config: FleetConfig,
-    pub config_at: Version,
-    pub trial: Option<Candidate>,
+    pub config_version: Version,
+    pub candidate: Option<Candidate>,
     pub runners: Vec<Runner>,
     pub duty: Option<Duty>,
     pub moves: Vec<MovePlan>,
@@ -209,8 +209,8 @@
         self.runners.iter().find(|r| r.instance == *name)
     }
 
-    pub fn live_moves(&self) -> impl Iterator<Item = &MovePlan> {
-        self.moves.iter().filter(|m| m.live())
+    pub fn active_moves(&self) -> impl Iterator<Item = &MovePlan> {
+        self.moves.iter().filter(|m| m.is_active())
     }
 
     pub fn scope_at(&self, scope: &Scope) -> Version {
@@ -219,13 +219,13 @@
 }
 
 impl MovePlan {
-    pub fn clashes(&self, other: &MovePlan) -> bool {
+    pub fn conflicts_with(&self, other: &MovePlan) -> bool {
         let shared = [&self.from, &self.to].into_iter().any(|r| *r == other.from || *r == other.to);
         let both_leave = self.want.0.is_empty() && other.want.0.is_empty() && self.model != other.model;
         shared && !both_leave
     }
 
-    pub fn live(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         !matches!(self.phase, Phase::Done | Phase::Stopped)
     }
 }
--- a/src/gate/admission.rs
+++ b/src/gate/admission.rs
@@ -36,7 +36,7 @@
     /// Whether the newest routes and tenants still allow a request that was admitted by earlier ones. A request may
     /// also have been admitted by newer ones than this gate was told of yet.
     pub fn admits(&self, order: &Order) -> Result<(), Why> {
-        if order.routes_at >= self.routes.0 || order.path.is_empty() {
+        if order.routes_version >= self.routes.0 || order.path.is_empty() {
             return Ok(());
         }
         let table = &self.routes.1;
--- a/src/gate/core.rs
+++ b/src/gate/core.rs
@@ -5,13 +5,13 @@
 use super::kept::Kept;
 use super::order::{Order, Plan, Refusal, Why};
 use super::pace::Pace;
-use crate::distribution::reader::FRESH;
+use crate::distribution::reader::FRESHNESS_LIMIT;
 use crate::fleet::routes::RouteTable;
 use crate::fleet::runner::Runner;
 use crate::fleet::slice::ServiceSlice;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
-use crate::msg::MoveTell;
+use crate::msg::MoveProgress;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -36,7 +36,7 @@
     pub tries: Tries,
     pub routers: u64,
     pub active: BTreeMap<(Name, Name), u64>,
-    pub moves: BTreeMap<MoveId, MoveTell>,
+    pub moves: BTreeMap<MoveId, MoveProgress>,
     pub demand: BTreeMap<String, BTreeMap<u64, Time>>,
     pub uses: BTreeMap<String, Used>,
     pub asker: Option<Asker>,
@@ -54,7 +54,7 @@
             domain,
             at: Version(0),
             slice: None,
-            proof: FRESH,
+            proof: FRESHNESS_LIMIT,
             proven: Time(0),
             routes_proven: Time(0),
             leased_until: Time(0),
--- a/src/gate/health.rs
+++ b/src/gate/health.rs
@@ -1,5 +1,5 @@
-use crate::fleet::holdings::HeldRow;
-use crate::fleet::runner::Report;
+use crate::fleet::holdings::RunnerHoldings;
+use crate::fleet::runner::RunnerReport;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 use crate::protocol::Load;
@@ -14,7 +14,7 @@
 
 #[derive(Default, Debug)]
 pub struct Health {
-    pub report: Option<(Time, Report)>,
+    pub report: Option<(Time, RunnerReport)>,
     pub mine: u64,
     pub others: u64,
     pub leaving: bool,
@@ -29,14 +29,14 @@
 }
 
 impl Health {
-    pub fn told(&mut self, now: Time, report: Report) {
+    pub fn told(&mut self, now: Time, report: RunnerReport) {
         self.leaving |= report.leaving;
         self.others = (report.running + report.waiting).saturating_sub(self.mine);
         self.report = Some((now, report));
     }
 
     /// Pushed news stay valid until they are contradicted.
-    pub fn held(&mut self, now: Time, row: &HeldRow) -> bool {
+    pub fn held(&mut self, now: Time, row: &RunnerHoldings) -> bool {
         self.pushed = true;
         self.silent = row.silent;
         let new = row.holding.as_ref().map(|h| h.open());
@@ -57,7 +57,7 @@
         !self.leaving && self.fresh(now).is_some_and(|r| r.has(name))
     }
 
-    pub fn fresh(&self, now: Time) -> Option<&Report> {
+    pub fn fresh(&self, now: Time) -> Option<&RunnerReport> {
         let (at, report) = self.report.as_ref()?;
         (!self.silent && (self.pushed || now.since(*at) < DARK)).then_some(report)
     }
--- a/src/gate/held.rs
+++ b/src/gate/held.rs
@@ -1,15 +1,15 @@
 use super::core::Gate;
 use super::order::Order;
 use super::pace::Rate;
-use crate::fleet::holdings::{HeldRow, UseTell, Want};
+use crate::fleet::holdings::{NameUsage, RunnerHoldings, UnmetDemand};
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
-use crate::msg::RouterTell;
+use crate::msg::RouterReport;
 use std::sync::Arc;
 
 const USED: Span = Span::ms(8000);
 
-pub type Asker = Arc<dyn Fn(Want) + Send + Sync>;
+pub type Asker = Arc<dyn Fn(UnmetDemand) + Send + Sync>;
 
 #[derive(Default, Debug)]
 pub struct Used {
@@ -19,7 +19,7 @@
 
 impl Gate {
     /// What the placement holder tells of a runner.
-    pub fn held(&mut self, now: Time, row: &HeldRow) -> bool {
+    pub fn held(&mut self, now: Time, row: &RunnerHoldings) -> bool {
         let Some(h) = self.health.get_mut(&row.runner) else { return false };
         let new = h.held(now, row);
         if let (true, Some((_, report))) = (new, &h.report) {
@@ -41,7 +41,7 @@
     fn ask(&self, order: &Order, name: &str) {
         let Some(asker) = &self.asker else { return };
         let (service, name) = (self.name.clone(), Name::from(name));
-        asker(Want { service, name, class: order.class, count: 1 });
+        asker(UnmetDemand { service, name, class: order.class, count: 1 });
     }
 
     pub fn seek(&self, now: Time, order: &Order) {
@@ -68,10 +68,10 @@
         }
     }
 
-    pub fn tell_uses(&mut self, now: Time, out: &mut RouterTell) {
+    pub fn tell_uses(&mut self, now: Time, out: &mut RouterReport) {
         self.uses.retain(|_, u| now.since(u.last) < USED);
         for (name, u) in &self.uses {
-            out.uses.push(UseTell {
+            out.uses.push(NameUsage {
                 service: self.name.clone(),
                 name: Name::from(name.as_str()),
                 idle: now.since(u.last),
--- a/src/gate/learn.rs
+++ b/src/gate/learn.rs
@@ -1,13 +1,13 @@
 use super::core::Gate;
 use super::wait::QUIET;
-use crate::fleet::runner::Report;
+use crate::fleet::runner::RunnerReport;
 use crate::fleet::slice::ServiceSlice;
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
 use std::sync::Arc;
 
 impl Gate {
-    pub fn report(&mut self, now: Time, runner: &Name, report: Report) {
+    pub fn report(&mut self, now: Time, runner: &Name, report: RunnerReport) {
         self.pace.told(now, &report);
         self.health.entry(runner.clone()).or_default().told(now, report);
     }
--- a/src/gate/lease.rs
+++ b/src/gate/lease.rs
@@ -19,7 +19,7 @@
                         gate.wake(now);
                     }
                 }
-                Scope::Trial | Scope::Duty => {}
+                Scope::Candidate | Scope::Duty => {}
             }
         }
     }
--- a/src/gate/nominate.rs
+++ b/src/gate/nominate.rs
@@ -1,7 +1,7 @@
 use super::core::Gate;
 use super::order::{Order, Plan, Refusal, Why};
-use crate::fleet::config::Sort;
-use crate::fleet::runner::{Report, Runner};
+use crate::fleet::config::ServiceKind;
+use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::slice::ServiceSlice;
 use crate::fleet::state::Phase;
 use crate::kernel::ids::Name;
@@ -70,9 +70,9 @@
     fn find<'a>(&self, now: Time, s: &'a ServiceSlice, order: &Order, avoid: &[Name]) -> Found<'a> {
         let mut found = Found::default();
         let (model, adapter) = (Name(order.model.to_string()), Name(order.adapter.to_string()));
-        let bare = self.bare_plain && s.service.sort == Sort::Plain;
+        let bare = self.bare_plain && s.service.sort == ServiceKind::Plain;
         let many_out = self.all_out(now, s);
-        let unreported = Report::default();
+        let unreported = RunnerReport::default();
         for r in s.runners.iter().filter(|r| !r.leaving && !avoid.contains(&r.instance)) {
             let Some(h) = self.health.get(&r.instance) else { continue };
             let report = match h.fresh(now) {
@@ -85,7 +85,7 @@
                 continue;
             }
             found.live = true;
-            if s.service.sort == Sort::Assistant {
+            if s.service.sort == ServiceKind::Assistant {
                 let fit = report.has(&model) && (adapter.0.is_empty() || report.has(&adapter));
                 if !fit || makes_way(s, &r.instance, &model) {
                     continue;
@@ -101,7 +101,7 @@
         found
     }
 
-    fn candidate<'a>(&self, r: &'a Runner, report: &Report, order: &Order, load: u64) -> Candidate<'a> {
+    fn candidate<'a>(&self, r: &'a Runner, report: &RunnerReport, order: &Order, load: u64) -> Candidate<'a> {
         let cold = order.parts.is_empty()
             && (order.prefix.is_empty() || !report.prefixes.iter().any(|p| *p == order.prefix.as_str()));
         let unread = order.size.prompt.saturating_sub(self.kept.of(&r.instance, order)) as u64;
@@ -124,7 +124,7 @@
 
     fn all_out(&self, now: Time, s: &ServiceSlice) -> bool {
         let rows = s.runners.iter().filter_map(|r| self.health.get(&r.instance));
-        let bare = self.bare_plain && s.service.sort == Sort::Plain;
+        let bare = self.bare_plain && s.service.sort == ServiceKind::Plain;
         rows.filter(|h| bare || h.fresh(now).is_some()).all(|h| h.out(now))
     }
 }
@@ -136,7 +136,7 @@
 }
 
 pub fn unknown(s: &ServiceSlice, order: &Order) -> Option<Refusal> {
-    if s.service.sort == Sort::Plain {
+    if s.service.sort == ServiceKind::Plain {
         return None;
     }
     let no = Some(Refusal::new(Why::NoModel, 0));
--- a/src/gate/pace.rs
+++ b/src/gate/pace.rs
@@ -1,5 +1,5 @@
 use crate::fleet::config::Class;
-use crate::fleet::runner::Report;
+use crate::fleet::runner::RunnerReport;
 use crate::fleet::slice::ServiceSlice;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
@@ -93,7 +93,7 @@
         self.unmet.entry(name.to_string()).or_insert(now);
     }
 
-    pub fn told(&mut self, now: Time, report: &Report) {
+    pub fn told(&mut self, now: Time, report: &RunnerReport) {
         let met: Vec<String> =
             self.unmet.keys().filter(|n| report.holds.iter().any(|h| h.0 == **n)).cloned().collect();
         for name in met {
--- a/src/gate/rehearse.rs
+++ b/src/gate/rehearse.rs
@@ -1,16 +1,16 @@
 use super::table::Table;
-use crate::fleet::config::{FleetConfig, Sort};
+use crate::fleet::config::{FleetConfig, ServiceKind};
 use crate::fleet::routes::RouteTable;
 use crate::fleet::slice::route_rows;
 use crate::fleet::state::Candidate;
 use crate::http::sender::Kept;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Clock, Time};
-use crate::msg::{LiveRoute, Rehearsal};
+use crate::msg::{RehearsalResult, RouteTraffic};
 
 fn offered(c: &FleetConfig, k: &Kept) -> Result<(), String> {
     let Some(s) = c.service(&k.service) else { return Err(format!("service {} is not offered", k.service)) };
-    if s.sort == Sort::Plain {
+    if s.sort == ServiceKind::Plain {
         return Ok(());
     }
     if !s.models.contains(&k.model) {
@@ -27,7 +27,7 @@
     let Some(gate) = table.gate(&k.service) else { return false };
     let g = gate.lock().unwrap();
     let Some(s) = &g.slice else { return false };
-    if s.service.sort == Sort::Plain {
+    if s.service.sort == ServiceKind::Plain {
         return !s.runners.is_empty();
     }
     let holds = |r: &crate::fleet::runner::Runner| {
@@ -68,13 +68,13 @@
 const LIVE: usize = 8;
 
 /// The routes of the last orders, the most used first.
-pub fn live(table: &Table, now: Time, seen: &[Kept]) -> Vec<LiveRoute> {
-    let mut rows: Vec<LiveRoute> = Vec::new();
+pub fn live(table: &Table, now: Time, seen: &[Kept]) -> Vec<RouteTraffic> {
+    let mut rows: Vec<RouteTraffic> = Vec::new();
     for k in seen {
         let Some((_, Some(r))) = table.find(now, &k.host, &k.path) else { continue };
         match rows.iter_mut().find(|l| l.host == r.route.host && l.prefix == r.route.prefix) {
             Some(l) => l.orders += 1,
-            None => rows.push(LiveRoute {
+            None => rows.push(RouteTraffic {
                 service: k.service.clone(),
                 host: r.route.host.clone(),
                 prefix: r.route.prefix.clone(),
@@ -87,8 +87,8 @@
     rows
 }
 
-pub fn rehearse(table: &Table, clock: &dyn Clock, trial: &Candidate, seen: &[Kept]) -> Rehearsal {
-    let mut out = Rehearsal { id: trial.id, ..Rehearsal::default() };
+pub fn rehearse(table: &Table, clock: &dyn Clock, trial: &Candidate, seen: &[Kept]) -> RehearsalResult {
+    let mut out = RehearsalResult { id: trial.id, ..RehearsalResult::default() };
     let samples = trial.config.rollout.samples.iter();
     let samples: Vec<Kept> = samples
         .map(|s| Kept {
--- a/src/gate/sweep.rs
+++ b/src/gate/sweep.rs
@@ -1,5 +1,5 @@
 use super::table::Table;
-use crate::fleet::config::Sort;
+use crate::fleet::config::ServiceKind;
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
 
@@ -39,7 +39,7 @@
         for g in self.gates() {
             let g = g.lock().unwrap();
             let Some(s) = &g.slice else { continue };
-            if !(self.bare_plain && s.service.sort == Sort::Plain) {
+            if !(self.bare_plain && s.service.sort == ServiceKind::Plain) {
                 out.extend(s.runners.iter().cloned());
             }
         }
--- a/src/gate/table.rs
+++ b/src/gate/table.rs
@@ -2,14 +2,14 @@
 use super::held::Asker;
 use crate::constraints::shares::Shares;
 use crate::fleet::config::Limits;
-use crate::fleet::holdings::HeldRow;
+use crate::fleet::holdings::RunnerHoldings;
 use crate::fleet::routes::RouteTable;
 use crate::fleet::slice::{RouteRow, ServiceSlice, Slice};
 use crate::fleet::state::{Candidate, Scope};
 use crate::kernel::ids::*;
 use crate::kernel::registry::Service;
 use crate::kernel::time::{Span, Time};
-use crate::msg::RouterTell;
+use crate::msg::RouterReport;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, RwLock};
 
@@ -22,7 +22,7 @@
     pub(super) routes_leased_until: RwLock<Time>,
     trial: Mutex<(Version, Option<Candidate>)>,
     pub(super) marks: Mutex<BTreeSet<Name>>,
-    held: Mutex<BTreeMap<Name, HeldRow>>,
+    held: Mutex<BTreeMap<Name, RunnerHoldings>>,
     asker: Mutex<Option<Asker>>,
     limits: Mutex<(Version, Limits)>,
     /// What this router holds of tenants' quotas.
@@ -65,8 +65,8 @@
 
     fn learn_limits(&self, slice: &ServiceSlice) {
         let mut limits = self.limits.lock().unwrap();
-        if slice.config_at >= limits.0 {
-            *limits = (slice.config_at, slice.limits.clone());
+        if slice.config_version >= limits.0 {
+            *limits = (slice.config_version, slice.limits.clone());
         }
     }
 
@@ -101,12 +101,12 @@
         *self.asker.lock().unwrap() = Some(asker);
     }
 
-    pub fn held(&self, now: Time, rows: &[HeldRow]) {
+    pub fn held(&self, now: Time, rows: &[RunnerHoldings]) {
         let mut held = self.held.lock().unwrap();
         for row in rows {
             let old = held.remove(&row.runner).and_then(|o| o.holding);
             let holding = row.holding.clone().or(old);
-            held.insert(row.runner.clone(), HeldRow { holding, ..row.clone() });
+            held.insert(row.runner.clone(), RunnerHoldings { holding, ..row.clone() });
         }
         drop(held);
         for g in self.gates() {
@@ -152,7 +152,7 @@
         self.trial.lock().unwrap().clone()
     }
 
-    pub fn routes_at(&self) -> Version {
+    pub fn routes_version(&self) -> Version {
         self.routes.read().unwrap().0
     }
 
@@ -178,9 +178,9 @@
                     }
                 }
             }
-            Scope::Trial => {
+            Scope::Candidate => {
                 let mut row = self.trial.lock().unwrap();
-                if let (true, Some(Slice::Trial(t))) = (at >= row.0, slice) {
+                if let (true, Some(Slice::Candidate(t))) = (at >= row.0, slice) {
                     *row = (at, t);
                 }
             }
@@ -220,13 +220,13 @@
         }
     }
 
-    pub fn tell(&self, now: Time) -> RouterTell {
-        let mut out = RouterTell { routes_at: self.routes_at(), ..RouterTell::default() };
+    pub fn tell(&self, now: Time) -> RouterReport {
+        let mut out = RouterReport { routes_version: self.routes_version(), ..RouterReport::default() };
         for g in self.gates() {
             g.lock().unwrap().tell(now, &mut out);
         }
         if let (_, Some(t)) = self.trial() {
-            out.trial_seen = t.id;
+            out.candidate_seen = t.id;
         }
         out
     }
--- a/src/gate/tell.rs
+++ b/src/gate/tell.rs
@@ -3,14 +3,14 @@
 use crate::fleet::state::{MovePlan, Phase};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
-use crate::msg::{MoveTell, RouterTell};
+use crate::msg::{MoveProgress, RouterReport};
 use crate::protocol::Load;
 
 const DEMAND: Span = Span::ms(2000);
 
 impl Gate {
-    pub fn move_row(&mut self, id: MoveId) -> &mut MoveTell {
-        self.moves.entry(id).or_insert_with(|| MoveTell { id, ..MoveTell::default() })
+    pub fn move_row(&mut self, id: MoveId) -> &mut MoveProgress {
+        self.moves.entry(id).or_insert_with(|| MoveProgress { id, ..MoveProgress::default() })
     }
 
     pub fn move_from(&self, runner: &Name, model: &str) -> Option<MovePlan> {
@@ -24,7 +24,7 @@
         self.active.get(&(m.from.clone(), m.model.clone())).copied().unwrap_or(0)
     }
 
-    pub fn tell(&mut self, now: Time, out: &mut RouterTell) {
+    pub fn tell(&mut self, now: Time, out: &mut RouterReport) {
         for w in self.inbox.rows() {
             for name in [&w.order.model, &w.order.adapter] {
                 if let Some(rows) = self.demand.get_mut(name.as_str()) {
--- a/src/gate/wait.rs
+++ b/src/gate/wait.rs
@@ -1,6 +1,6 @@
 use super::core::Gate;
 use super::order::{Order, Plan, Refusal, Why};
-use crate::fleet::config::Sort;
+use crate::fleet::config::ServiceKind;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 
@@ -30,7 +30,7 @@
             };
             let Some(report) = h.fresh(now) else { continue };
             let fit = |n: &str| n.is_empty() || report.holds.iter().any(|x| x.0 == n);
-            if s.service.sort == Sort::Assistant && !(fit(&order.model) && fit(&order.adapter)) {
+            if s.service.sort == ServiceKind::Assistant && !(fit(&order.model) && fit(&order.adapter)) {
                 continue;
             }
             let most = report.slots.min(s.service.slots).max(1);
--- a/src/hollow/days.rs
+++ b/src/hollow/days.rs
@@ -5,7 +5,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::rand::Rand;
 use crate::kernel::time::{Span, Time};
-use crate::msg::{self, Op, Role};
+use crate::msg::{self, OperatorCall, Role};
 
 const STEP: Span = Span::ms(50);
 const STEADY: Span = Span::ms(3000);
@@ -62,12 +62,12 @@
         say(page::judged(&self.judge, span, self.size.nodes - self.size.core));
     }
 
-    fn change(&mut self, op: Op, say: Say) -> bool {
+    fn change(&mut self, op: OperatorCall, say: Say) -> bool {
         let id = ChangeId::random(&mut self.rand);
         let routers = self.live(Role::Router);
         let Some(place) = routers.first().copied() else { return false };
         let (asked, old) = (self.now, self.top());
-        self.feed_made(place, "change", &|_| msg::Event::Op { id, op: op.clone() });
+        self.feed_made(place, "change", &|_| msg::Event::OperatorCall { id, op: op.clone() });
         let done = self.until(Span::ms(60_000), &|w| w.answers.contains_key(&id) || w.top() > old);
         let top = self.top();
         let all = if done.is_some() { self.until(Span::ms(60_000), &|w| w.in_force(top)) } else { None };
@@ -98,13 +98,13 @@
             known.map_or("never".into(), |s| s.to_string())
         ));
         let text = self.size.config();
-        if !self.change(Op::Whole { base: None, text }, say) {
+        if !self.change(OperatorCall::ReplaceConfig { base: None, text }, say) {
             return false;
         }
         let id = ChangeId::random(&mut self.rand);
         self.feed_made(0, "change", &|w| {
             let list = (0..w.size.runners).map(|n| w.size.runner(n)).collect();
-            msg::Event::Op { id, op: Op::Runners(list) }
+            msg::Event::OperatorCall { id, op: OperatorCall::SetRunners(list) }
         });
         let taken = self.until(Span::ms(30_000), &|w| w.answers.contains_key(&id));
         let whole = self.until(Span::ms(60_000), &|w| w.whole());
@@ -225,7 +225,7 @@
             for n in 0..w.size.changes {
                 let from: Time = w.now;
                 let text = w.size.part(n);
-                w.change(Op::Part { base: None, text }, say);
+                w.change(OperatorCall::PatchConfig { base: None, text }, say);
                 let left = (w.size.gap_s * 1_000_000).saturating_sub(w.now.since(from).0);
                 w.run_for(Span(left));
             }
--- a/src/hollow/freshness.rs
+++ b/src/hollow/freshness.rs
@@ -1,7 +1,7 @@
 //! What a router of the hollow fleet knows, and whether it may serve by it.
 
 use super::node::HollowNode;
-use crate::distribution::reader::FRESH;
+use crate::distribution::reader::FRESHNESS_LIMIT;
 use crate::fleet::slice::Slice;
 use crate::fleet::state::Scope;
 use crate::kernel::ids::*;
@@ -10,9 +10,9 @@
 impl HollowNode {
     pub fn learn(&mut self, scope: &Scope, at: Version, slice: Option<&Slice>, proven: Time) {
         if *scope == Scope::Routes {
-            self.routes_at = self.routes_at.max(at);
+            self.routes_version = self.routes_version.max(at);
         }
-        if let Some(Slice::Trial(t)) = slice {
+        if let Some(Slice::Candidate(t)) = slice {
             self.trial = t.as_ref().map_or(ChangeId::default(), |c| c.id);
         }
         let row = self.proven.entry(scope.clone()).or_default();
@@ -21,7 +21,7 @@
 
     pub fn is_fresh(&self, now: Time) -> bool {
         let fresh = |s: &Scope| {
-            self.proven.get(s).is_some_and(|t| now.since(*t) < FRESH)
+            self.proven.get(s).is_some_and(|t| now.since(*t) < FRESHNESS_LIMIT)
                 || self.leased.get(s).is_some_and(|until| now < *until)
         };
         fresh(&Scope::Routes) && fresh(&Scope::Service(Name::from("assistant")))
--- a/src/hollow/judge.rs
+++ b/src/hollow/judge.rs
@@ -91,7 +91,7 @@
     }
 
     pub fn in_force(&self, at: Version) -> bool {
-        self.live(Role::Router).iter().all(|k| self.nodes[*k].routes_at >= at)
+        self.live(Role::Router).iter().all(|k| self.nodes[*k].routes_version >= at)
     }
 
     pub fn core_whole(&self) -> bool {
--- a/src/hollow/node.rs
+++ b/src/hollow/node.rs
@@ -8,9 +8,9 @@
 use crate::kernel::disk::Disk;
 use crate::kernel::ids::*;
 use crate::kernel::node::Node;
-use crate::kernel::rand::{Rand, Seeded};
+use crate::kernel::rand::{Rand, SeededRandom};
 use crate::kernel::time::{Span, Time};
-use crate::msg::{self, Effect, Envelope, Msg, Rehearsal, Role, RouterTell};
+use crate::msg::{self, Effect, Envelope, Msg, RehearsalResult, Role, RouterReport};
 use crate::sim::disk::SimDisk;
 use crate::wire;
 use std::collections::{BTreeMap, VecDeque};
@@ -28,7 +28,7 @@
     pub spent: Spent,
     pub ready: bool,
     pub watch: bool,
-    pub routes_at: Version,
+    pub routes_version: Version,
     pub proven: BTreeMap<Scope, Time>,
     pub leased: BTreeMap<Scope, Time>,
     pub trial: ChangeId,
@@ -49,7 +49,7 @@
             spent: Spent::default(),
             ready: false,
             watch: false,
-            routes_at: Version(0),
+            routes_version: Version(0),
             proven: BTreeMap::new(),
             leased: BTreeMap::new(),
             trial: ChangeId::default(),
@@ -60,7 +60,7 @@
 
     pub fn start(&mut self, size: &Size, place: usize, now: Time, seed: u64) {
         let at = size.place(place);
-        let rand = Box::new(Seeded(seed));
+        let rand = Box::new(SeededRandom(seed));
         let life = self.life + 1;
         let (role, disk) = (self.role, self.disk.clone());
         *self = HollowNode { life, disk, up: now, ..HollowNode::new(role) };
@@ -79,17 +79,17 @@
         self.node = Some(node);
     }
 
-    pub fn tell(&mut self, now: Time) -> RouterTell {
+    pub fn tell(&mut self, now: Time) -> RouterReport {
         self.demand.retain(|d| d.1 > now);
         let wants = self.demand.iter().map(|d| (Name::from("assistant"), d.0.clone(), 1));
-        let row = Rehearsal { id: self.trial, ..Rehearsal::default() };
-        RouterTell {
-            trial_seen: self.trial,
-            routes_at: self.routes_at,
+        let row = RehearsalResult { id: self.trial, ..RehearsalResult::default() };
+        RouterReport {
+            candidate_seen: self.trial,
+            routes_version: self.routes_version,
             rehearsal: (self.trial != ChangeId::default()).then_some(row),
             demand: wants.collect(),
             tries: vec![(Name::from("assistant"), 0, 0, 50)],
-            ..RouterTell::default()
+            ..RouterReport::default()
         }
     }
 }
@@ -116,7 +116,8 @@
         n.spent.got_bytes += raw.len() as u64;
         n.spent.state += raw.capacity() as i64;
         self.work(place, "letter", move |node, now| {
-            let open = wire::open(&raw, wire::NET_MAX).and_then(|(body, _)| wire::unpack(body));
+            let open = wire::decode_frame(&raw, wire::MAX_NETWORK_BODY)
+                .and_then(|(body, _)| wire::decode_envelope(body));
             open.map_or(vec![], |l| keep::letter(node, now, l))
         });
     }
@@ -157,7 +158,7 @@
         let n = &mut self.nodes[place];
         n.spent.sent += 1;
         n.spent.sent_bytes += raw.len() as u64;
-        if raw.len() > wire::NET_MAX {
+        if raw.len() > wire::MAX_NETWORK_BODY {
             self.too_long += 1;
             return;
         }
@@ -177,8 +178,8 @@
     fn effect(&mut self, place: usize, e: &Effect) {
         let now = self.now;
         match e {
-            Effect::Leased { scopes, until } => self.nodes[place].lease(scopes, *until),
-            Effect::Learn { scope, at, slice, proven } => {
+            Effect::ServingLease { scopes, until } => self.nodes[place].lease(scopes, *until),
+            Effect::TopicUpdate { scope, at, slice, proven } => {
                 self.nodes[place].learn(scope, *at, slice.as_ref(), *proven);
             }
             Effect::Answer { id, answer } => {
@@ -190,8 +191,8 @@
                 self.start(place);
             }
             Effect::Ready(r) => self.nodes[place].ready = *r,
-            Effect::Watch(list) => self.nodes[place].watch = !list.is_empty(),
-            Effect::Drive(o) => self.drive(place, o.clone()),
+            Effect::PollRunners(list) => self.nodes[place].watch = !list.is_empty(),
+            Effect::OrderRunner(o) => self.drive(place, o.clone()),
             _ => {}
         }
     }
@@ -206,7 +207,7 @@
     };
     let letter =
         Envelope { from: node.me.node, to, fleet: node.views.fleet, addr: node.me.addr, msg: msg.clone() };
-    Some((addr, wire::pack(&letter)))
+    Some((addr, wire::encode_envelope(&letter)))
 }
 
 fn keep_all(disk: &mut dyn Disk, out: &[Effect]) -> bool {
--- a/src/hollow/runners.rs
+++ b/src/hollow/runners.rs
@@ -1,5 +1,5 @@
 use super::world::{Event, Hollow};
-use crate::fleet::runner::Report;
+use crate::fleet::runner::RunnerReport;
 use crate::kernel::ids::Name;
 use crate::kernel::rand::Rand;
 use crate::kernel::time::Span;
@@ -19,8 +19,8 @@
         HollowRunner { name, room_mb: 230_000, used_mb: 0, holds: vec![], loading: vec![], term: 0 }
     }
 
-    pub fn report(&self) -> Report {
-        Report {
+    pub fn report(&self) -> RunnerReport {
+        RunnerReport {
             instance: self.name.clone(),
             room_mb: self.room_mb,
             used_mb: self.used_mb,
@@ -29,7 +29,7 @@
             loading: self.loading.iter().map(|r| r.0.clone()).collect(),
             slots: 64,
             term: self.term,
-            ..Report::default()
+            ..RunnerReport::default()
         }
     }
 
--- a/src/hollow/size.rs
+++ b/src/hollow/size.rs
@@ -1,5 +1,5 @@
 use crate::daemon::assemble::{Place, Policy};
-use crate::distribution::reader::{FRESH, SERVING_LEASE};
+use crate::distribution::reader::{FRESHNESS_LIMIT, SERVING_LEASE};
 use crate::fleet::runner::Runner;
 use crate::kernel::ids::Name;
 use crate::kernel::time::Span;
@@ -80,7 +80,7 @@
             core: self.core,
             bear: (self.core - 1) / 2,
             first: true,
-            proof: FRESH,
+            proof: FRESHNESS_LIMIT,
             lease: SERVING_LEASE,
             policy: Policy::Move,
             list: None,
--- a/src/hollow/world.rs
+++ b/src/hollow/world.rs
@@ -3,7 +3,7 @@
 use super::runners::HollowRunner;
 use super::size::Size;
 use crate::kernel::ids::*;
-use crate::kernel::rand::{Rand, Seeded};
+use crate::kernel::rand::{Rand, SeededRandom};
 use crate::kernel::time::{Span, Time};
 use crate::msg::{self, Role};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -32,7 +32,7 @@
 pub struct Hollow {
     pub size: Size,
     pub now: Time,
-    pub rand: Seeded,
+    pub rand: SeededRandom,
     queue: BTreeMap<(Time, u64), Event>,
     next: u64,
     pub nodes: Vec<HollowNode>,
@@ -55,7 +55,7 @@
         let role = |n: usize| if n < size.core { Role::Controller } else { Role::Router };
         let mut w = Hollow {
             now: Time(1_000_000_000),
-            rand: Seeded(size.seed),
+            rand: SeededRandom(size.seed),
             queue: BTreeMap::new(),
             next: 0,
             nodes: (0..size.nodes).map(|n| HollowNode::new(role(n))).collect(),
@@ -199,7 +199,7 @@
             Event::Start { place } => self.start(place),
             Event::Tick { place, life } => {
                 self.feed(place, "tick", msg::Event::Tick);
-                self.feed(place, "work", msg::Event::Work);
+                self.feed(place, "work", msg::Event::DutyTick);
                 self.later(TICK, Event::Tick { place, life });
             }
             Event::Tell { place, life } => {
@@ -218,11 +218,11 @@
             Event::Report { place, runner, .. } => {
                 self.feed_made(place, "report", &|w| {
                     let r = &w.runners[runner];
-                    msg::Event::Report { instance: r.name.clone(), report: Some(r.report()) }
+                    msg::Event::RunnerReport { instance: r.name.clone(), report: Some(r.report()) }
                 });
             }
             Event::Driven { place, order, status, .. } => {
-                self.feed(place, "ordered", msg::Event::Ordered { order, status });
+                self.feed(place, "ordered", msg::Event::OrderAnswered { order, status });
             }
             Event::Envelope { place, raw, .. } => self.letter(place, raw),
             Event::Loaded { runner, name } => self.runners[runner].loaded(&name),
--- a/src/http/admin.rs
+++ b/src/http/admin.rs
@@ -3,8 +3,8 @@
 use crate::fleet::runner::Runner;
 use crate::json::Tree;
 use crate::kernel::ids::*;
-use crate::kernel::rand::Kernel;
-use crate::msg::{Answer, Event, Op};
+use crate::kernel::rand::OsRandom;
+use crate::msg::{Answer, Event, OperatorCall};
 use crate::protocol::{OperatorProtocol, OperatorRequest};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -58,7 +58,7 @@
 fn name_of(headers: &HeaderMap) -> Option<u128> {
     match headers.get("x-change-id") {
         Some(name) => name.to_str().ok().and_then(ChangeId::parse_name),
-        None => Some(ChangeId::random(&mut Kernel).name),
+        None => Some(ChangeId::random(&mut OsRandom).name),
     }
 }
 
@@ -77,7 +77,7 @@
     async fn wished(&self, side: &dyn OperatorProtocol, call: &Told) -> Option<Response<OutBody>> {
         let base = call.base.as_deref();
         let id = match call.method.as_str() {
-            "GET" => ChangeId::random(&mut Kernel),
+            "GET" => ChangeId::random(&mut OsRandom),
             _ => side.id(&call.method, base, &call.text),
         };
         let answer = match side.read_request(id, &call.method, &call.path, base, &call.text)? {
@@ -163,15 +163,17 @@
     let tree = || Tree::parse(&text).map_err(|why| bad(&format!("{why}; send well-formed JSON")));
     let op = match (method, &rows[..]) {
         (&Method::GET, ["v1", "changes", id]) => {
-            return Ok(Event::Ask { id: ask, path: format!("change/{id}") });
+            return Ok(Event::OperatorRead { id: ask, path: format!("change/{id}") });
         }
-        (&Method::POST, ["v1", "query"]) => return Ok(Event::Ask { id, path: format!("query/{text}") }),
-        (&Method::GET, ["v1", what]) => return Ok(Event::Ask { id, path: what.to_string() }),
+        (&Method::POST, ["v1", "query"]) => {
+            return Ok(Event::OperatorRead { id, path: format!("query/{text}") });
+        }
+        (&Method::GET, ["v1", what]) => return Ok(Event::OperatorRead { id, path: what.to_string() }),
         (&Method::PUT, ["v1", "config"]) => match crate::fleet::read::read_text(&text) {
-            Ok(_) => Op::Whole { base, text },
+            Ok(_) => OperatorCall::ReplaceConfig { base, text },
             Err(bad) => return Err(crate::chain::reply::faults(&bad)),
         },
-        (&Method::PATCH, ["v1", "config"]) => Op::Part { base, text },
+        (&Method::PATCH, ["v1", "config"]) => OperatorCall::PatchConfig { base, text },
         (&Method::PUT, ["v1", "runners"]) => {
             let tree = tree()?;
             let rows = if let Tree::List(rows) = &tree { &rows[..] } else { tree.list("runners") };
@@ -184,18 +186,18 @@
                     return Err(bad(&format!("runner {} is given twice; keep one", r.instance)));
                 }
             }
-            Op::Runners(list)
+            OperatorCall::SetRunners(list)
         }
-        (&Method::POST, ["v1", "runners", name, "leaving"]) => Op::Leaving(Name::from(*name)),
-        (&Method::POST, ["v1", "plan", "propose"]) => Op::Propose,
+        (&Method::POST, ["v1", "runners", name, "leaving"]) => OperatorCall::MarkLeaving(Name::from(*name)),
+        (&Method::POST, ["v1", "plan", "propose"]) => OperatorCall::ProposePlan,
         (&Method::POST, ["v1", "plan", "accept", at]) => match Version::parse(at) {
-            Some(at) => Op::Accept(at),
+            Some(at) => OperatorCall::AcceptPlan(at),
             None => return Err(bad("the plan's version is no version; give one as shown by plan")),
         },
         (&Method::POST, ["v1", "moves"]) => {
             let t = tree()?;
             let text = |k: &str| Name(t.text(k).unwrap_or("").to_string());
-            Op::Move {
+            OperatorCall::MoveModel {
                 service: text("service"),
                 model: text("model"),
                 from: text("from"),
@@ -205,5 +207,5 @@
         }
         _ => return Err(Answer::new(404, "unknown-path", "see docs/interface.md for what can be asked", 0)),
     };
-    Ok(Event::Op { id, op })
+    Ok(Event::OperatorCall { id, op })
 }
--- a/src/http/own.rs
+++ b/src/http/own.rs
@@ -1,5 +1,5 @@
 use crate::fleet::config::Route;
-use crate::fleet::runner::{Report, Runner};
+use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::tenants::KeyDigest;
 use crate::gate::order::Order;
 use crate::json::Tree;
@@ -114,9 +114,9 @@
         call("GET", "/spindle/report", runner, String::new())
     }
 
-    fn read_report(&self, runner: &Runner, body: &[u8]) -> Option<Report> {
+    fn read_report(&self, runner: &Runner, body: &[u8]) -> Option<RunnerReport> {
         let tree = Tree::parse(std::str::from_utf8(body).ok()?).ok()?;
-        Report::read(&tree).filter(|rep| rep.instance == runner.instance)
+        RunnerReport::read(&tree).filter(|rep| rep.instance == runner.instance)
     }
 
     fn order_request(&self, o: &RunnerOrder) -> Call {
--- a/src/http/serve.rs
+++ b/src/http/serve.rs
@@ -4,7 +4,7 @@
 use super::forward::{ForwardJob, forward};
 use super::pool::Pool;
 use super::quota::take_token;
-use crate::fleet::config::Sort;
+use crate::fleet::config::ServiceKind;
 use crate::fleet::slice::RouteRow;
 use crate::gate::admission::admit;
 use crate::gate::order::Why;
@@ -82,7 +82,7 @@
         }
         let now = self.clock.now();
         let host = order.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or("").to_string();
-        let Some((routes_at, routes)) = self.table.fresh_routes(now) else {
+        let Some((routes_version, routes)) = self.table.fresh_routes(now) else {
             return refused(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
         };
         let Some(row) = routes.find(&host, order.uri().path()) else {
@@ -118,7 +118,7 @@
             Ok(order) => Order {
                 host: host.as_str().into(),
                 path: parts.uri.path().into(),
-                routes_at,
+                routes_version,
                 rank: admission.rank,
                 credential: admission.credential,
                 ..order
@@ -173,7 +173,8 @@
         let service = row.pick(id ^ now.0).clone();
         let gate = self.table.gate(&service);
         let sort = gate.and_then(|g| g.lock().unwrap().slice.as_ref().map(|s| s.service.sort));
-        let keys = match self.protocols.caller.read_params(heads, body, sort == Some(Sort::Assistant)) {
+        let keys = match self.protocols.caller.read_params(heads, body, sort == Some(ServiceKind::Assistant))
+        {
             Ok(keys) => keys,
             Err(text) => return Err(Box::new(own(400, "bad-order", text, 0, "refused"))),
         };
--- a/src/kernel/component.rs
+++ b/src/kernel/component.rs
@@ -10,34 +10,34 @@
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct LocalNode {
     pub node: NodeId,
     pub role: Role,
     pub domain: Name,
     pub addr: SocketAddr,
     pub admin: SocketAddr,
     pub seeds: Vec<SocketAddr>,
-    pub seed: bool,
-    pub core: usize,
-    pub bear: usize,
-    pub first: bool,
-    pub proof: Span,
+    pub is_seed: bool,
+    pub core_size: usize,
+    pub tolerated_failures: usize,
+    pub may_found: bool,
+    pub freshness_limit: Span,
     /// How long a serving lease runs; the same on all nodes of a fleet.
-    pub lease: Span,
+    pub serving_lease: Span,
     pub started: Time,
 }
 
-impl Me {
-    pub fn votes(&self) -> usize {
-        if self.core > 0 { self.core } else { 2 * self.bear + 1 }
+impl LocalNode {
+    pub fn voter_count(&self) -> usize {
+        if self.core_size > 0 { self.core_size } else { 2 * self.tolerated_failures + 1 }
     }
 
-    pub fn most(&self) -> usize {
-        if self.core > 0 { self.core } else { 2 * self.bear + 3 }
+    pub fn max_chain_length(&self) -> usize {
+        if self.core_size > 0 { self.core_size } else { 2 * self.tolerated_failures + 3 }
     }
 
-    pub fn need(&self) -> usize {
-        self.bear + 1
+    pub fn required_copies(&self) -> usize {
+        self.tolerated_failures + 1
     }
 
     pub fn member(&self) -> Member {
@@ -95,21 +95,21 @@
 
 pub struct Context<'a> {
     pub now: Time,
-    pub me: &'a Me,
-    pub room: u64,
-    pub slow: bool,
+    pub me: &'a LocalNode,
+    pub free_disk_bytes: u64,
+    pub is_disk_slow: bool,
     /// Whether a write has been under way for too long: nothing that depends on it leaves this node.
-    pub stuck: bool,
+    pub is_write_stuck: bool,
     pub rand: &'a mut dyn Rand,
     pub views: &'a mut Views,
     pub journal: &'a mut Journal,
     pub events: &'a mut VecDeque<JournalEvent>,
-    pub out: &'a mut Vec<Effect>,
+    pub effects: &'a mut Vec<Effect>,
 }
 
 impl Context<'_> {
     pub fn send(&mut self, to: NodeId, msg: Msg) {
-        self.out.push(Effect::Send { to, msg });
+        self.effects.push(Effect::Send { to, msg });
     }
 
     pub fn chain(&mut self, to: NodeId, msg: ChainMsg) {
@@ -117,7 +117,7 @@
     }
 
     pub fn save(&mut self, record: Record) {
-        self.out.push(Effect::Save(record));
+        self.effects.push(Effect::Save(record));
     }
 
     pub fn publish(&mut self, event: JournalEvent) {
@@ -136,7 +136,7 @@
     }
 
     pub fn answer(&mut self, id: ChangeId, answer: Answer) {
-        self.out.push(Effect::Answer { id, answer });
+        self.effects.push(Effect::Answer { id, answer });
     }
 }
 
--- a/src/kernel/event.rs
+++ b/src/kernel/event.rs
@@ -5,15 +5,15 @@
 use crate::chain::view::View;
 use crate::constraints::shares::{Grant, QuotaDemand};
 use crate::fleet::FleetState;
-use crate::fleet::holdings::{HeldRow, Want};
-use crate::fleet::runner::{Report, Runner};
+use crate::fleet::holdings::{RunnerHoldings, UnmetDemand};
+use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::slice::Slice;
 use crate::fleet::state::{Change, Scope};
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
 use crate::membership::messages::Row;
-use crate::msg::{Answer, Msg, Op};
-use crate::router_report::RouterTell;
+use crate::msg::{Answer, Msg, OperatorCall};
+use crate::router_report::RouterReport;
 use crate::runner_list::messages::RunnerListing;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -48,33 +48,33 @@
     /// The timed work that others wait for: heartbeats, leases, pings. Never held up by anything that waits.
     Tick,
     /// The timed work of the duties (rollout, placement), done between more urgent inputs.
-    Work,
-    Mail {
+    DutyTick,
+    Message {
         from: NodeId,
         fleet: FleetId,
         msg: Msg,
     },
-    Op {
+    OperatorCall {
         id: ChangeId,
-        op: Op,
+        op: OperatorCall,
     },
-    Ask {
+    OperatorRead {
         id: ChangeId,
         path: String,
     },
-    Report {
+    RunnerReport {
         instance: Name,
-        report: Option<Report>,
+        report: Option<RunnerReport>,
     },
-    Ordered {
+    OrderAnswered {
         order: OrderId,
         status: u16,
     },
-    RouterState(Arc<RouterTell>),
-    Listed(RunnerListing),
-    Wanted(Want),
+    RouterState(Arc<RouterReport>),
+    RunnersListed(RunnerListing),
+    NameWanted(UnmetDemand),
     QuotaWanted(QuotaDemand),
-    Warned,
+    StopAnnounced,
     Journal(JournalEvent),
 }
 
@@ -110,25 +110,25 @@
         id: ChangeId,
         answer: Answer,
     },
-    Drive(RunnerOrder),
-    Routers(u64),
-    Watch(Vec<Runner>),
-    Holds(bool),
+    OrderRunner(RunnerOrder),
+    RouterCount(u64),
+    PollRunners(Vec<Runner>),
+    HoldsDuty(bool),
     /// The list of runners is to be read once, now.
     ReadList,
-    Look(Name),
-    Held(Vec<HeldRow>),
-    Mark(Name),
+    PollRunner(Name),
+    Holdings(Vec<RunnerHoldings>),
+    RunnerLeaving(Name),
     Ready(bool),
     /// These topics may be served by until then, without a newer proof.
-    Leased {
+    ServingLease {
         scopes: Vec<Scope>,
         until: Time,
     },
     Leaving(Departure),
     /// Owners of quotas have answered.
     QuotaGranted(Vec<Grant>),
-    Learn {
+    TopicUpdate {
         scope: Scope,
         at: Version,
         slice: Option<Slice>,
@@ -142,17 +142,17 @@
         match self {
             Event::Start => "start",
             Event::Tick => "tick",
-            Event::Work => "work",
-            Event::Mail { msg, .. } => msg.kind(),
-            Event::Op { .. } => "operator call",
-            Event::Ask { .. } => "operator read",
-            Event::Report { .. } => "runner report",
-            Event::Ordered { .. } => "order answer",
+            Event::DutyTick => "work",
+            Event::Message { msg, .. } => msg.kind(),
+            Event::OperatorCall { .. } => "operator call",
+            Event::OperatorRead { .. } => "operator read",
+            Event::RunnerReport { .. } => "runner report",
+            Event::OrderAnswered { .. } => "order answer",
             Event::RouterState(_) => "router state",
-            Event::Listed(_) => "list of runners",
-            Event::Wanted(_) => "wanted name",
+            Event::RunnersListed(_) => "list of runners",
+            Event::NameWanted(_) => "wanted name",
             Event::QuotaWanted(_) => "quota wanted",
-            Event::Warned => "warning",
+            Event::StopAnnounced => "warning",
             Event::Journal(_) => "journal",
         }
     }
--- a/src/kernel/hold.rs
+++ b/src/kernel/hold.rs
@@ -4,95 +4,95 @@
 use crate::msg::{ChainMsg, Effect, Msg, Record};
 use std::collections::VecDeque;
 
-pub const STUCK: Span = Span::ms(400);
+pub const STUCK_AFTER: Span = Span::ms(400);
 
 #[derive(Clone, Debug)]
-pub enum Save {
-    Add(Record),
+pub enum DiskWrite {
+    Append(Record),
     Rewrite(Vec<Record>),
 }
 
 #[derive(Clone, Debug)]
-pub struct Job {
-    pub no: u64,
-    pub rows: Vec<Save>,
+pub struct WriteBatch {
+    pub number: u64,
+    pub writes: Vec<DiskWrite>,
 }
 
 #[derive(Clone)]
-struct Held {
-    no: u64,
+struct DelayedEffects {
+    number: u64,
     since: Time,
     bare: bool,
     rest: Vec<Effect>,
 }
 
 #[derive(Clone, Default)]
-pub struct Hold {
+pub struct SyncGate {
     next: u64,
-    queue: VecDeque<Held>,
+    queue: VecDeque<DelayedEffects>,
     late: bool,
 }
 
-impl Hold {
-    pub fn take(&mut self, now: Time, out: Vec<Effect>) -> (Vec<Effect>, Option<Job>) {
-        let (mut rows, mut rest) = (Vec::new(), Vec::new());
+impl SyncGate {
+    pub fn submit(&mut self, now: Time, out: Vec<Effect>) -> (Vec<Effect>, Option<WriteBatch>) {
+        let (mut writes, mut rest) = (Vec::new(), Vec::new());
         for e in out {
             match e {
-                Effect::Save(record) => rows.push(Save::Add(record)),
-                Effect::Rewrite(all) => rows.push(Save::Rewrite(all)),
+                Effect::Save(record) => writes.push(DiskWrite::Append(record)),
+                Effect::Rewrite(all) => writes.push(DiskWrite::Rewrite(all)),
                 other => rest.push(other),
             }
         }
-        let job = (!rows.is_empty()).then(|| {
+        let job = (!writes.is_empty()).then(|| {
             self.next += 1;
-            let bare = rows.iter().any(bare);
-            self.queue.push_back(Held { no: self.next, since: now, bare, rest: Vec::new() });
-            Job { no: self.next, rows }
+            let bare = writes.iter().any(bare);
+            self.queue.push_back(DelayedEffects { number: self.next, since: now, bare, rest: Vec::new() });
+            WriteBatch { number: self.next, writes }
         });
         if self.queue.is_empty() {
             return (rest, job);
         }
-        let (stuck, bare) = (self.stuck(now), self.queue.iter().any(|h| h.bare));
+        let (stuck, bare) = (self.is_stuck(now), self.queue.iter().any(|h| h.bare));
         let mut free = Vec::new();
         for e in rest {
-            if apart(&e, bare) || (stuck && needs_no_disk(&e)) {
+            if needs_no_sync(&e, bare) || (stuck && needs_no_disk(&e)) {
                 free.push(e);
-            } else if let (false, Some(last)) = (stuck && sent(&e), self.queue.back_mut()) {
+            } else if let (false, Some(last)) = (stuck && is_message(&e), self.queue.back_mut()) {
                 last.rest.push(e);
             }
         }
         (free, job)
     }
 
-    pub fn synced(&mut self, now: Time, upto: u64) -> Vec<Effect> {
+    pub fn release_synced(&mut self, now: Time, upto: u64) -> Vec<Effect> {
         let mut out = Vec::new();
         if upto > 0 {
-            self.late = self.stuck(now);
+            self.late = self.is_stuck(now);
         }
-        while self.queue.front().is_some_and(|h| h.no <= upto) {
+        while self.queue.front().is_some_and(|h| h.number <= upto) {
             out.extend(self.queue.pop_front().map(|h| h.rest).unwrap_or_default());
         }
         out
     }
 
-    pub fn stuck(&self, now: Time) -> bool {
-        self.queue.front().is_some_and(|h| now.since(h.since) >= STUCK)
+    pub fn is_stuck(&self, now: Time) -> bool {
+        self.queue.front().is_some_and(|h| now.since(h.since) >= STUCK_AFTER)
     }
 
-    pub fn slow(&self, now: Time) -> bool {
-        self.stuck(now) || self.late
+    pub fn is_slow(&self, now: Time) -> bool {
+        self.is_stuck(now) || self.late
     }
 }
 
-fn bare(row: &Save) -> bool {
-    matches!(row, Save::Add(Record::Fleet { .. } | Record::Pledge { .. }))
+fn bare(row: &DiskWrite) -> bool {
+    matches!(row, DiskWrite::Append(Record::Fleet { .. } | Record::Pledge { .. }))
 }
 
-fn apart(e: &Effect, bare: bool) -> bool {
+fn needs_no_sync(e: &Effect, bare: bool) -> bool {
     match e {
-        Effect::Answer { .. } | Effect::Ready(_) | Effect::Routers(_) | Effect::Watch(_) => true,
-        Effect::Reset(_) | Effect::Drive(_) => true,
-        Effect::Send { msg: Msg::Op { .. } | Msg::Ask { .. }, .. } => !bare,
+        Effect::Answer { .. } | Effect::Ready(_) | Effect::RouterCount(_) | Effect::PollRunners(_) => true,
+        Effect::Reset(_) | Effect::OrderRunner(_) => true,
+        Effect::Send { msg: Msg::OperatorCall { .. } | Msg::OperatorRead { .. }, .. } => !bare,
         _ => false,
     }
 }
@@ -111,18 +111,18 @@
     )
 }
 
-fn sent(e: &Effect) -> bool {
+fn is_message(e: &Effect) -> bool {
     matches!(e, Effect::Send { .. } | Effect::SendAt { .. })
 }
 
-pub fn write(disk: &mut dyn Disk, rows: &[Save]) -> Result<(), Fault> {
-    let from = rows.iter().rposition(|r| matches!(r, Save::Rewrite(_)));
-    if let Some(Save::Rewrite(all)) = from.and_then(|k| rows.get(k)) {
+pub fn write_batch(disk: &mut dyn Disk, writes: &[DiskWrite]) -> Result<(), Fault> {
+    let from = writes.iter().rposition(|r| matches!(r, DiskWrite::Rewrite(_)));
+    if let Some(DiskWrite::Rewrite(all)) = from.and_then(|k| writes.get(k)) {
         disk.rewrite(all)?;
     }
-    let adds = rows.iter().skip(from.map_or(0, |k| k + 1)).filter_map(|r| match r {
-        Save::Add(record) => Some(record.clone()),
-        Save::Rewrite(_) => None,
+    let adds = writes.iter().skip(from.map_or(0, |k| k + 1)).filter_map(|r| match r {
+        DiskWrite::Append(record) => Some(record.clone()),
+        DiskWrite::Rewrite(_) => None,
     });
     let adds: Vec<Record> = adds.collect();
     if adds.is_empty() { Ok(()) } else { disk.add(&adds) }
--- a/src/kernel/lanes.rs
+++ b/src/kernel/lanes.rs
@@ -67,18 +67,21 @@
 /// How an event is queued before a node.
 pub fn class_of(event: &Event) -> Class {
     match event {
-        Event::Mail { from, msg, .. } => class_of_message(*from, msg),
-        Event::Work => Class { droppable: false, ..Class::newest(Lane::Duty, OWN, event.kind()) },
-        Event::Listed(_) => Class { droppable: false, ..Class::newest(Lane::Serving, OWN, event.kind()) },
+        Event::Message { from, msg, .. } => class_of_message(*from, msg),
+        Event::DutyTick => Class { droppable: false, ..Class::newest(Lane::Duty, OWN, event.kind()) },
+        Event::RunnersListed(_) => {
+            Class { droppable: false, ..Class::newest(Lane::Serving, OWN, event.kind()) }
+        }
         Event::RouterState(tell) => {
             Class { replaceable: tell.live.is_empty(), ..Class::newest(Lane::Deferrable, OWN, event.kind()) }
         }
-        Event::Report { .. } | Event::Ordered { .. } => Class::kept(Lane::Duty),
-        Event::Wanted(_) => Class::droppable(Lane::Deferrable),
+        Event::RunnerReport { .. } | Event::OrderAnswered { .. } => Class::kept(Lane::Duty),
+        Event::NameWanted(_) => Class::droppable(Lane::Deferrable),
         Event::Start | Event::Tick | Event::Journal(_) => Class::kept(Lane::Chain),
-        Event::Op { .. } | Event::Ask { .. } | Event::QuotaWanted(_) | Event::Warned => {
-            Class::kept(Lane::Serving)
-        }
+        Event::OperatorCall { .. }
+        | Event::OperatorRead { .. }
+        | Event::QuotaWanted(_)
+        | Event::StopAnnounced => Class::kept(Lane::Serving),
     }
 }
 
@@ -89,14 +92,16 @@
         Msg::Constraint(ConstraintMsg::AuthorityRequest { .. } | ConstraintMsg::AuthorityGrant { .. }) => {
             Class::newest(Lane::Chain, from, msg.kind())
         }
-        Msg::Tell(tell) => {
+        Msg::RouterReport(tell) => {
             Class { replaceable: tell.live.is_empty(), ..Class::newest(Lane::Deferrable, from, msg.kind()) }
         }
         Msg::Hello { me, .. } if me.role == Role::Controller => {
             Class::newest(Lane::Serving, from, msg.kind())
         }
-        Msg::Hello { .. } | Msg::Sync | Msg::HeldAsk => Class::newest(Lane::Deferrable, from, msg.kind()),
-        Msg::Want(_) | Msg::Held(_) => Class::droppable(Lane::Deferrable),
+        Msg::Hello { .. } | Msg::GossipRequest | Msg::HoldingsRequest => {
+            Class::newest(Lane::Deferrable, from, msg.kind())
+        }
+        Msg::UnmetDemand(_) | Msg::Holdings(_) => Class::droppable(Lane::Deferrable),
         // A router takes only the grant of its newest request.
         Msg::ServingLeaseRequest(_) | Msg::ListRead(_) => Class::newest(Lane::Serving, from, msg.kind()),
         _ => Class::droppable(Lane::Serving),
--- a/src/kernel/log_format.rs
+++ b/src/kernel/log_format.rs
@@ -57,8 +57,8 @@
 
 /// One batch, as it stands at this offset of the file of this generation.
 pub fn batch(generation: u64, at: u64, records: &[Record]) -> Vec<u8> {
-    let mut raw = wire::seal(&bitcode::encode(records));
-    mix(&mut raw[..wire::HEAD], generation, at);
+    let mut raw = wire::encode_frame(&bitcode::encode(records));
+    mix(&mut raw[..wire::HEADER_LEN], generation, at);
     raw
 }
 
@@ -94,13 +94,13 @@
         records.push(record);
         at += len;
     }
-    let later = (at + 1..raw.len()).any(|k| wire::open(&raw[k..], wire::DISK_MAX).is_ok());
+    let later = (at + 1..raw.len()).any(|k| wire::decode_frame(&raw[k..], wire::MAX_DISK_BODY).is_ok());
     if later { Content::Damaged(at) } else { Content::Whole(records, at) }
 }
 
 /// Records in format 1, for tests of what an older release has written.
 pub fn write_format_one(records: &[Record]) -> Vec<u8> {
-    records.iter().flat_map(|record| wire::seal(&bitcode::encode(record))).collect()
+    records.iter().flat_map(|record| wire::encode_frame(&bitcode::encode(record))).collect()
 }
 
 fn header(raw: &[u8]) -> Option<(u32, u64)> {
@@ -120,11 +120,11 @@
 }
 
 fn frame_at(generation: u64, raw: &[u8], at: usize) -> Option<(&[u8], usize)> {
-    let mut head: [u8; wire::HEAD] = raw.get(at..at + wire::HEAD)?.try_into().ok()?;
+    let mut head: [u8; wire::HEADER_LEN] = raw.get(at..at + wire::HEADER_LEN)?.try_into().ok()?;
     mix(&mut head, generation, at as u64);
-    let len = wire::size(&head, wire::DISK_MAX).ok()?;
-    let body = raw.get(at + wire::HEAD..at + wire::HEAD + len)?;
-    Some((wire::body(&head, body).ok()?, wire::HEAD + len))
+    let len = wire::body_len(&head, wire::MAX_DISK_BODY).ok()?;
+    let body = raw.get(at + wire::HEADER_LEN..at + wire::HEADER_LEN + len)?;
+    Some((wire::checked_body(&head, body).ok()?, wire::HEADER_LEN + len))
 }
 
 /// Looks at each offset once. A body is read only behind a head with a sound checksum of its length, and such
@@ -134,7 +134,7 @@
 }
 
 fn record_at(raw: &[u8], at: usize) -> Option<(Record, usize)> {
-    let (body, len) = wire::open(raw.get(at..)?, wire::DISK_MAX).ok()?;
+    let (body, len) = wire::decode_frame(raw.get(at..)?, wire::MAX_DISK_BODY).ok()?;
     Some((bitcode::decode(body).ok()?, len))
 }
 
--- a/src/kernel/node.rs
+++ b/src/kernel/node.rs
@@ -1,4 +1,4 @@
-use super::component::{Component, Context, Me, Views};
+use super::component::{Component, Context, LocalNode, Views};
 use super::journal::Journal;
 use super::rand::Rand;
 use super::step_times::StepTimes;
@@ -7,29 +7,29 @@
 use std::collections::VecDeque;
 
 pub struct Node {
-    pub me: Me,
+    pub me: LocalNode,
     pub views: Views,
     pub journal: Journal,
     components: Vec<Box<dyn Component>>,
     rand: Box<dyn Rand>,
-    pub room: u64,
-    pub slow: bool,
-    pub stuck: bool,
+    pub free_disk_bytes: u64,
+    pub is_disk_slow: bool,
+    pub is_write_stuck: bool,
     /// Measures the steps, where a driver wants it.
     pub step_times: Option<StepTimes>,
 }
 
 impl Node {
-    pub fn new(me: Me, rand: Box<dyn Rand>) -> Node {
+    pub fn new(me: LocalNode, rand: Box<dyn Rand>) -> Node {
         Node {
             me,
             views: Views::default(),
             journal: Journal::default(),
             components: Vec::new(),
             rand,
-            room: u64::MAX,
-            slow: false,
-            stuck: false,
+            free_disk_bytes: u64::MAX,
+            is_disk_slow: false,
+            is_write_stuck: false,
             step_times: None,
         }
     }
@@ -64,14 +64,14 @@
                 let mut ctx = Context {
                     now,
                     me: &self.me,
-                    room: self.room,
-                    slow: self.slow,
-                    stuck: self.stuck,
+                    free_disk_bytes: self.free_disk_bytes,
+                    is_disk_slow: self.is_disk_slow,
+                    is_write_stuck: self.is_write_stuck,
                     rand: &mut *self.rand,
                     views: &mut self.views,
                     journal: &mut self.journal,
                     events: &mut events,
-                    out: &mut out,
+                    effects: &mut out,
                 };
                 p.on(&ev, &mut ctx);
                 if let Some(times) = &mut self.step_times {
--- a/src/kernel/rand.rs
+++ b/src/kernel/rand.rs
@@ -9,18 +9,18 @@
     }
 }
 
-pub struct Seeded(pub u64);
+pub struct SeededRandom(pub u64);
 
-impl Rand for Seeded {
+impl Rand for SeededRandom {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         mix(self.0)
     }
 }
 
-pub struct Kernel;
+pub struct OsRandom;
 
-impl Rand for Kernel {
+impl Rand for OsRandom {
     fn next(&mut self) -> u64 {
         let mut raw = [0u8; 8];
         let n = unsafe { libc::getrandom(raw.as_mut_ptr().cast(), 8, 0) };
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -73,7 +73,7 @@
         if reached && (blind || off >= OFF) && ctx.now.since(self.synced) >= wait {
             self.synced = ctx.now;
             self.tries += 1;
-            ctx.send(from, Msg::Sync);
+            ctx.send(from, Msg::GossipRequest);
         }
     }
 
@@ -89,7 +89,7 @@
             let digest = self.table.digest ^ self.marks.digest;
             for addr in ctx.me.seeds.clone() {
                 let msg = Msg::Hello { me: ctx.me.member(), empty, digest };
-                ctx.out.push(Effect::SendAt { addr, msg });
+                ctx.effects.push(Effect::SendAt { addr, msg });
             }
         }
     }
@@ -106,7 +106,7 @@
                     self.served = ctx.now;
                 }
                 let msg = Msg::Welcome { empty, gossip };
-                ctx.out.push(Effect::SendAt { addr: me.addr, msg });
+                ctx.effects.push(Effect::SendAt { addr: me.addr, msg });
             }
             Msg::Welcome { gossip: Some(g), .. } | Msg::Gossip(g) => self.learn(from, g, ctx),
             Msg::Ping(g) => {
@@ -119,14 +119,14 @@
                 self.learn(from, g, ctx);
                 self.compare(from, g.digest, ctx);
             }
-            Msg::Sync if ctx.now.since(self.served) >= SERVE => {
+            Msg::GossipRequest if ctx.now.since(self.served) >= SERVE => {
                 self.served = ctx.now;
                 let g = self.snapshot(ctx);
                 ctx.send(from, Msg::Gossip(Box::new(g)));
             }
             Msg::RunnersLeaving(names) => self.marks.add_listed(names, ctx),
             Msg::ListRead(read) => self.marks.add_listed(&read.leaving, ctx),
-            Msg::Doubt { who } => {
+            Msg::Suspect { who } => {
                 let known = |n: &&NodeId| {
                     let row = self.table.rows.get(n);
                     row.is_some_and(|k| k.live && ctx.now.since(k.heard) < DOUBT)
--- a/src/membership/marks.rs
+++ b/src/membership/marks.rs
@@ -41,7 +41,7 @@
         self.order.insert(self.seq, name.clone());
         self.digest ^= hash(&name.0, 3);
         ctx.log_event("runner-marked", name.to_string());
-        ctx.out.push(Effect::Mark(name.clone()));
+        ctx.effects.push(Effect::RunnerLeaving(name.clone()));
     }
 
     fn drop(&mut self, name: &Name) {
--- a/src/membership/service.rs
+++ b/src/membership/service.rs
@@ -82,7 +82,7 @@
             ctx.send(n, Msg::Ping(Box::new(g)));
         }
         for (to, who) in doubts {
-            ctx.send(to, Msg::Doubt { who });
+            ctx.send(to, Msg::Suspect { who });
         }
     }
 
@@ -162,7 +162,7 @@
             Event::Start => self.table.start(ctx.me),
             Event::Tick => self.tick(ctx),
             Event::Journal(JournalEvent::RunnerMarked(name)) => self.marks.add(name, Span(0), ctx),
-            Event::Mail { from, msg, fleet } => {
+            Event::Message { from, msg, fleet } => {
                 if ctx.me.role == Role::Router && ctx.views.fleet == FleetId(0) && fleet.0 != 0 {
                     ctx.publish(JournalEvent::Fleet(*fleet));
                 }
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -1,5 +1,5 @@
 use super::rendezvous::Watch;
-use crate::kernel::component::Me;
+use crate::kernel::component::LocalNode;
 use crate::kernel::ids::*;
 use crate::kernel::rand::mix;
 use crate::kernel::time::{Span, Time};
@@ -43,7 +43,7 @@
 }
 
 impl Table {
-    pub fn start(&mut self, me: &Me) {
+    pub fn start(&mut self, me: &LocalNode) {
         self.digest = print(&me.member());
         self.watch.join(me.node);
         self.watch.add(me.node);
@@ -102,7 +102,7 @@
         self.bump(me);
     }
 
-    pub fn learn(&mut self, c: &Claim, me: &Me, now: Time) {
+    pub fn learn(&mut self, c: &Claim, me: &LocalNode, now: Time) {
         let node = c.who.node;
         if node == me.node || c.who.addr == me.addr {
             if c.live != (node == me.node) {
@@ -162,7 +162,7 @@
         lost.into_iter().for_each(|n| self.drop(n));
     }
 
-    pub fn claim(&self, node: NodeId, me: &Me, now: Time) -> Option<Claim> {
+    pub fn claim(&self, node: NodeId, me: &LocalNode, now: Time) -> Option<Claim> {
         if node == me.node {
             return Some(Claim { who: me.member(), live: true, age: Span(0) });
         }
@@ -170,13 +170,13 @@
         Some(Claim { who: k.who.clone(), live: k.live, age: now.since(k.heard) })
     }
 
-    pub fn since(&self, seq: u64, most: usize, me: &Me, now: Time) -> (Vec<Claim>, u64) {
+    pub fn since(&self, seq: u64, most: usize, me: &LocalNode, now: Time) -> (Vec<Claim>, u64) {
         let rows: Vec<(&u64, &NodeId)> = self.order.range(seq + 1..).take(most).collect();
         let upto = if rows.len() < most { self.seq } else { rows.last().map_or(self.seq, |r| *r.0) };
         (rows.into_iter().filter_map(|r| self.claim(*r.1, me, now)).collect(), upto)
     }
 
-    pub fn all(&self, me: &Me, now: Time) -> Vec<Claim> {
+    pub fn all(&self, me: &LocalNode, now: Time) -> Vec<Claim> {
         let ids = [me.node].into_iter().chain(self.rows.keys().copied());
         ids.filter_map(|n| self.claim(n, me, now)).collect()
     }
@@ -187,7 +187,7 @@
         self.rows.values().filter(unsettled).map(|k| k.turned + SETTLE).min()
     }
 
-    pub fn book(&self, me: &Me, now: Time) -> Vec<Row> {
+    pub fn book(&self, me: &LocalNode, now: Time) -> Vec<Row> {
         let mut rows = vec![Row { who: me.member(), quiet: Span(0) }];
         for k in self.rows.values() {
             let held = k.live || now.since(k.turned) < SETTLE;
--- a/src/msg.rs
+++ b/src/msg.rs
@@ -6,7 +6,7 @@
 pub use crate::distribution::messages::{
     LeaseApplication, LeaseNumber, ServingLeaseGrant, ServingLeaseRequest, TopicUpdate,
 };
-use crate::fleet::holdings::{HeldTell, Want};
+use crate::fleet::holdings::{HoldingsUpdate, UnmetDemand};
 use crate::fleet::runner::Runner;
 use crate::fleet::state::{Change, Scope};
 pub use crate::kernel::event::*;
@@ -41,10 +41,10 @@
     Ping(Box<Gossip>),
     Pong(Box<Gossip>),
     Gossip(Box<Gossip>),
-    Doubt {
+    Suspect {
         who: Vec<NodeId>,
     },
-    Sync,
+    GossipRequest,
     Chain(ChainMsg),
     UpdateRequest {
         nonce: u64,
@@ -64,33 +64,33 @@
     },
     ServingLeaseRequest(ServingLeaseRequest),
     ServingLeaseGrant(ServingLeaseGrant),
-    Op {
+    OperatorCall {
         id: ChangeId,
         attempt: u64,
-        op: Op,
+        op: OperatorCall,
     },
-    OpPending {
+    CallPending {
         id: ChangeId,
         attempt: u64,
     },
-    OpEnd {
+    CallAnswer {
         id: ChangeId,
         attempt: u64,
         answer: Answer,
     },
-    Ask {
+    OperatorRead {
         attempt: u64,
         path: String,
     },
-    AskEnd {
+    ReadAnswer {
         attempt: u64,
         answer: Answer,
     },
-    Tell(Arc<RouterTell>),
-    Nudge,
-    Want(Vec<Want>),
-    Held(Arc<HeldTell>),
-    HeldAsk,
+    RouterReport(Arc<RouterReport>),
+    RequestUpdates,
+    UnmetDemand(Vec<UnmetDemand>),
+    Holdings(Arc<HoldingsUpdate>),
+    HoldingsRequest,
     /// A controller has read the list of runners.
     ListRead(Box<ListRead>),
     /// Runners that the list shows as leaving, told to routers at once.
@@ -108,8 +108,8 @@
             Msg::Ping(_) => "ping",
             Msg::Pong(_) => "pong",
             Msg::Gossip(_) => "gossip",
-            Msg::Doubt { .. } => "doubt",
-            Msg::Sync => "sync",
+            Msg::Suspect { .. } => "doubt",
+            Msg::GossipRequest => "sync",
             Msg::Chain(msg) => msg.kind(),
             Msg::UpdateRequest { .. } => "update request",
             Msg::UpdateReply { .. } => "update reply",
@@ -117,13 +117,13 @@
             Msg::UpdateRefused { .. } => "update refused",
             Msg::ServingLeaseRequest(_) => "serving lease request",
             Msg::ServingLeaseGrant(_) => "serving lease grant",
-            Msg::Op { .. } | Msg::OpPending { .. } | Msg::OpEnd { .. } => "passed call",
-            Msg::Ask { .. } | Msg::AskEnd { .. } => "passed read",
-            Msg::Tell(_) => "tell",
-            Msg::Nudge => "nudge",
-            Msg::Want(_) => "want",
-            Msg::Held(_) => "holdings",
-            Msg::HeldAsk => "holdings request",
+            Msg::OperatorCall { .. } | Msg::CallPending { .. } | Msg::CallAnswer { .. } => "passed call",
+            Msg::OperatorRead { .. } | Msg::ReadAnswer { .. } => "passed read",
+            Msg::RouterReport(_) => "tell",
+            Msg::RequestUpdates => "nudge",
+            Msg::UnmetDemand(_) => "want",
+            Msg::Holdings(_) => "holdings",
+            Msg::HoldingsRequest => "holdings request",
             Msg::ListRead(_) => "list read",
             Msg::RunnersLeaving(_) => "runners leaving",
             Msg::Constraint(_) => "quota",
@@ -133,19 +133,19 @@
 
 /// What an operator, or another node, asks of the head.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub enum Op {
-    Whole { base: Option<Version>, text: String },
-    Part { base: Option<Version>, text: String },
-    Foreign { base: Option<u64>, part: bool, text: String },
-    Runners(Vec<Runner>),
-    Leaving(Name),
-    Propose,
-    Accept(Version),
-    Move { service: Name, model: Name, from: Name, to: Name, want: Name },
+pub enum OperatorCall {
+    ReplaceConfig { base: Option<Version>, text: String },
+    PatchConfig { base: Option<Version>, text: String },
+    PlatformConfig { base: Option<u64>, part: bool, text: String },
+    SetRunners(Vec<Runner>),
+    MarkLeaving(Name),
+    ProposePlan,
+    AcceptPlan(Version),
+    MoveModel { service: Name, model: Name, from: Name, to: Name, want: Name },
     Internal(Change),
 }
 
-impl Op {
+impl OperatorCall {
     /// The digest of what is asked for, for calls that come in as such and not as a document.
     pub fn document(&self) -> DocumentDigest {
         DocumentDigest::of(&[&bitcode::encode(self)])
--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -148,7 +148,7 @@
     fn weight(&self, o: &Offer, name: &Name) -> u64 {
         let c = self.config();
         let mine = |n: &&Name| *n == name || c.base_of(n) == Some(name);
-        o.report.holds.iter().filter(mine).filter_map(|n| c.least_mb(n)).sum()
+        o.report.holds.iter().filter(mine).filter_map(|n| c.min_mb(n)).sum()
     }
 
     fn weigh(&self, place: usize, want: &Name) -> Option<Weighed<'a>> {
--- a/src/placement/decision.rs
+++ b/src/placement/decision.rs
@@ -3,11 +3,17 @@
 use crate::kernel::ids::*;
 
 /// A small plan for one wanted name, as data.
-pub fn decision(id: PlanId, config_at: Version, want: &Name, choice: &Choice, why: &str) -> PlacementPlan {
+pub fn decision(
+    id: PlanId,
+    config_version: Version,
+    want: &Name,
+    choice: &Choice,
+    why: &str,
+) -> PlacementPlan {
     let runner = &choice.runner;
-    let unloads = choice.unloads.iter().map(|n| Step::Unload { runner: runner.clone(), name: n.clone() });
-    let load = Step::Load { runner: runner.clone(), name: want.clone() };
-    let stage = |name: &str, steps: Vec<Step>, ms, loads| PlanStage {
+    let unloads = choice.unloads.iter().map(|n| PlanStep::Unload { runner: runner.clone(), name: n.clone() });
+    let load = PlanStep::Load { runner: runner.clone(), name: want.clone() };
+    let stage = |name: &str, steps: Vec<PlanStep>, ms, loads| PlanStage {
         name: name.into(),
         steps,
         ms,
@@ -21,7 +27,7 @@
     PlacementPlan {
         id,
         at: Version(0),
-        config_at,
+        config_version,
         why: format!("{want} {why}; startup is estimated at {}ms", choice.ms),
         state: PlanState::Running,
         stage: 0,
--- a/src/placement/demand.rs
+++ b/src/placement/demand.rs
@@ -46,14 +46,14 @@
 
     pub fn busy(&self, s: &DutySlice, now: Time) -> Vec<Name> {
         let mut rows: Vec<Name> = Vec::new();
-        for m in s.moves.iter().filter(|m| m.live()) {
+        for m in s.moves.iter().filter(|m| m.is_active()) {
             rows.extend([m.from.clone(), m.to.clone()]);
         }
-        for step in s.plans.iter().filter_map(|p| p.now()).flat_map(|st| &st.steps) {
+        for step in s.plans.iter().filter_map(|p| p.current_stage()).flat_map(|st| &st.steps) {
             let done = match step {
-                Step::Load { .. } => true,
-                Step::Unload { .. } => false,
-                Step::Move { id, .. } => s.moves.iter().any(|m| m.id == *id && !m.live()),
+                PlanStep::Load { .. } => true,
+                PlanStep::Unload { .. } => false,
+                PlanStep::Move { id, .. } => s.moves.iter().any(|m| m.id == *id && !m.is_active()),
             };
             if !done {
                 rows.extend(step.runners().into_iter().cloned());
@@ -68,8 +68,8 @@
     pub fn counted(&self, s: &DutySlice, now: Time) -> Flights {
         let mut all = self.flights.clone();
         let unseen = self.unseen.values().flat_map(|r| &r.1);
-        for step in s.plans.iter().filter(|p| p.live()).flat_map(|p| p.steps()).chain(unseen) {
-            let Step::Load { runner, name } = step else { continue };
+        for step in s.plans.iter().filter(|p| p.is_running()).flat_map(|p| p.steps()).chain(unseen) {
+            let PlanStep::Load { runner, name } = step else { continue };
             let there = self.reports.get(runner).is_some_and(|r| r.1.has(name) || r.1.loading.contains(name));
             if there || all.has(runner, name) {
                 continue;
@@ -112,7 +112,7 @@
             && self.jobs.is_empty()
             && self.unseen.is_empty()
             && self.flights.rows.is_empty()
-            && !s.plans.iter().any(|p| p.live());
+            && !s.plans.iter().any(|p| p.is_running());
         let gap = Span(IDLE_PLAN_PER_RUNNER.0 * s.runners.len() as u64);
         if quiet && self.claims.is_empty() && ctx.now.since(self.work.last_idle_plan) >= gap {
             self.work.last_idle_plan = ctx.now;
@@ -134,7 +134,7 @@
         let credit = s.config.services.iter().map(|x| (x.name.clone(), self.credit(&x.name, ctx)));
         Picture {
             config: &s.config,
-            config_at: s.config_at,
+            config_version: s.config_version,
             offers: self.offers(ctx.now),
             flights,
             now: ctx.now,
@@ -193,9 +193,9 @@
             }
             return;
         }
-        let steps = plan.now().map_or(vec![], |st| st.steps.clone());
+        let steps = plan.current_stage().map_or(vec![], |st| st.steps.clone());
         self.unseen.insert(plan.id, (ctx.now, plan.steps().cloned().collect()));
-        let closed = steps.iter().filter(|x| !matches!(x, Step::Load { .. }));
+        let closed = steps.iter().filter(|x| !matches!(x, PlanStep::Load { .. }));
         for name in closed.flat_map(|x| x.runners()).chain(want) {
             self.claims.insert(name.clone(), ctx.now);
         }
--- a/src/placement/distrust.rs
+++ b/src/placement/distrust.rs
@@ -7,7 +7,7 @@
 #![deny(missing_docs)]
 
 use crate::fleet::config::FleetConfig;
-use crate::fleet::runner::Report;
+use crate::fleet::runner::RunnerReport;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 use std::collections::BTreeMap;
@@ -64,7 +64,7 @@
     }
 
     /// The report with its use of memory taken from the configured weights, if its runner is doubted.
-    pub fn corrected(&self, config: &FleetConfig, mut report: Report) -> Report {
+    pub fn corrected(&self, config: &FleetConfig, mut report: RunnerReport) -> RunnerReport {
         if self.is_doubted(&report.instance) {
             report.used_mb = report.used_mb.max(most_used(config, &report));
         }
@@ -73,8 +73,8 @@
 }
 
 /// The most that all takes which a report shows as held or loading; the whole room if a weight is not known.
-pub fn most_used(config: &FleetConfig, report: &Report) -> u64 {
+pub fn most_used(config: &FleetConfig, report: &RunnerReport) -> u64 {
     let names = report.holds.iter().chain(&report.loading);
-    let known: Option<u64> = names.map(|name| config.most_mb(name)).sum();
+    let known: Option<u64> = names.map(|name| config.max_mb(name)).sum();
     known.unwrap_or(report.room_mb)
 }
--- a/src/placement/drive.rs
+++ b/src/placement/drive.rs
@@ -1,7 +1,7 @@
 use super::duty::{Placement, REPORT};
 use crate::fleet::config::Allowance;
 use crate::fleet::plan::*;
-use crate::fleet::runner::Report;
+use crate::fleet::runner::RunnerReport;
 use crate::fleet::slice::DutySlice;
 use crate::fleet::state::*;
 use crate::kernel::component::Context;
@@ -25,14 +25,14 @@
 
 impl Placement {
     pub fn run_plans(&mut self, s: &DutySlice, ctx: &mut Context) {
-        self.rows.retain(|id, _| s.plans.iter().any(|p| p.id == *id && p.live()));
-        for p in s.plans.iter().filter(|p| p.live()) {
+        self.rows.retain(|id, _| s.plans.iter().any(|p| p.id == *id && p.is_running()));
+        for p in s.plans.iter().filter(|p| p.is_running()) {
             self.run_plan(p, s, ctx);
         }
     }
 
     fn run_plan(&mut self, p: &PlacementPlan, s: &DutySlice, ctx: &mut Context) {
-        let Some(stage) = p.now() else { return };
+        let Some(stage) = p.current_stage() else { return };
         let new = Row { stage: p.stage, since: ctx.now, tries: 0, told: Time(0) };
         let row = self.rows.entry(p.id).or_insert(new);
         if row.stage != p.stage {
@@ -63,9 +63,9 @@
         }
     }
 
-    fn run_step(&mut self, p: &PlacementPlan, step: &Step, s: &DutySlice, ctx: &mut Context) -> At {
+    fn run_step(&mut self, p: &PlacementPlan, step: &PlanStep, s: &DutySlice, ctx: &mut Context) -> At {
         match step {
-            Step::Load { runner, name } => {
+            PlanStep::Load { runner, name } => {
                 let Some(r) = self.heard(runner, ctx.now) else { return self.absent(runner, s) };
                 if r.has(name) {
                     return At::Done;
@@ -75,7 +75,7 @@
                 }
                 At::Open
             }
-            Step::Unload { runner, name } => {
+            PlanStep::Unload { runner, name } => {
                 let Some(r) = self.heard(runner, ctx.now) else { return self.absent(runner, s) };
                 if !r.has(name) {
                     return At::Done;
@@ -88,7 +88,7 @@
                 }
                 At::Open
             }
-            Step::Move { id, service, model, from, to, want } => {
+            PlanStep::Move { id, service, model, from, to, want } => {
                 if let Some(m) = s.moves.iter().find(|m| m.id == *id) {
                     return match m.phase {
                         Phase::Done => At::Done,
@@ -107,7 +107,7 @@
                     why: p.why.clone(),
                     stages: vec![],
                 };
-                if s.moves.iter().any(|m| m.live() && m.clashes(&plan)) {
+                if s.moves.iter().any(|m| m.is_active() && m.conflicts_with(&plan)) {
                     return At::Open;
                 }
                 let sent = self.sent.get(id).is_some_and(|t| ctx.now.since(*t) < AGAIN);
@@ -129,7 +129,7 @@
         }
     }
 
-    fn heard(&self, runner: &Name, now: Time) -> Option<Report> {
+    fn heard(&self, runner: &Name, now: Time) -> Option<RunnerReport> {
         let row = self.reports.get(runner).filter(|r| now.since(r.0) < REPORT)?;
         Some(row.1.clone())
     }
@@ -152,7 +152,7 @@
         if let Some(row) = self.rows.get_mut(&p.id) {
             row.told = ctx.now;
         }
-        let name = p.now().map_or(String::new(), |s| s.name.clone());
+        let name = p.current_stage().map_or(String::new(), |s| s.name.clone());
         let figure = StageFigure {
             name,
             ms,
--- a/src/placement/duty.rs
+++ b/src/placement/duty.rs
@@ -9,8 +9,8 @@
 use crate::daemon::assemble::Policy;
 use crate::distribution::Reader;
 use crate::distribution::reader::Topic;
-use crate::fleet::plan::{PlacementPlan, Step};
-use crate::fleet::runner::{Report, Runner};
+use crate::fleet::plan::{PlacementPlan, PlanStep};
+use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::slice::{DutySlice, Slice};
 use crate::fleet::state::*;
 use crate::kernel::component::{Component, Context};
@@ -31,8 +31,8 @@
     /// The places of the runners in the slice.
     pub(super) places: BTreeMap<Name, usize>,
     pub proven: Time,
-    pub reports: BTreeMap<Name, (Time, Report)>,
-    pub tells: BTreeMap<NodeId, (Time, Arc<RouterTell>)>,
+    pub reports: BTreeMap<Name, (Time, RunnerReport)>,
+    pub tells: BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
     /// The sums over `tells`.
     pub usage: Arc<Usage>,
     /// How much was done to find decisions.
@@ -60,7 +60,7 @@
     pub policy: Policy,
     pub rows: BTreeMap<PlanId, super::drive::Row>,
     pub claims: BTreeMap<Name, Time>,
-    pub unseen: BTreeMap<PlanId, (Time, Vec<Step>)>,
+    pub unseen: BTreeMap<PlanId, (Time, Vec<PlanStep>)>,
     pub cleared: Time,
     pub refused_at: Time,
     pub asked_plan: Option<(ChangeId, Time)>,
@@ -176,7 +176,7 @@
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         self.flights.pacer.tick(ctx.now);
         match ev {
-            Event::Work => {
+            Event::DutyTick => {
                 self.ask(ctx);
                 self.name_holder(ctx);
                 self.look(ctx);
@@ -193,33 +193,35 @@
                     self.log_needs(ctx);
                 }
             }
-            Event::Mail { msg: Msg::UpdateReply { nonce, items }, .. } => {
+            Event::Message { msg: Msg::UpdateReply { nonce, items }, .. } => {
                 for l in self.reader.told(*nonce, items) {
                     if let Some(Slice::Duty(s)) = l.slice {
                         let s = *s;
                         let list = self.reporting(&s).cloned().collect();
                         self.learn(ctx.me.node, s);
                         let mine = self.term > Term(0);
-                        ctx.out.push(Effect::Watch(if mine { list } else { vec![] }));
-                        ctx.out.push(Effect::Holds(mine));
+                        ctx.effects.push(Effect::PollRunners(if mine { list } else { vec![] }));
+                        ctx.effects.push(Effect::HoldsDuty(mine));
                         self.look(ctx);
                     }
                     self.proven = self.proven.max(l.proven);
                 }
             }
-            Event::Mail { from, msg: Msg::Tell(tell), .. } if self.term > Term(0) || tells_all(ctx.views) => {
+            Event::Message { from, msg: Msg::RouterReport(tell), .. }
+                if self.term > Term(0) || tells_all(ctx.views) =>
+            {
                 self.told(*from, tell, ctx.now);
             }
-            Event::Mail { from, msg: Msg::Want(rows), .. } if self.term > Term(0) => {
+            Event::Message { from, msg: Msg::UnmetDemand(rows), .. } if self.term > Term(0) => {
                 for want in rows {
                     self.wanted(*from, want, ctx.now);
                 }
                 self.react(ctx);
                 self.check_held(*from, rows, ctx);
             }
-            Event::Listed(listing) => self.listed(&listing.runners, ctx),
-            Event::Mail { from, msg: Msg::HeldAsk, .. } => self.push_whole(*from, ctx),
-            Event::Report { instance, report } if self.term > Term(0) => {
+            Event::RunnersListed(listing) => self.listed(&listing.runners, ctx),
+            Event::Message { from, msg: Msg::HoldingsRequest, .. } => self.push_whole(*from, ctx),
+            Event::RunnerReport { instance, report } if self.term > Term(0) => {
                 if let Some(r) = report {
                     self.work.stirred |= self.reports.get(instance).is_none_or(|old| old.1 != *r);
                     self.reported(instance, r, ctx);
@@ -228,8 +230,8 @@
                 self.push(ctx);
                 self.react(ctx);
             }
-            Event::Ordered { order, status } => self.ordered(*order, *status, ctx),
-            Event::Warned => self.hand_over(ctx),
+            Event::OrderAnswered { order, status } => self.ordered(*order, *status, ctx),
+            Event::StopAnnounced => self.hand_over(ctx),
             _ => {}
         }
     }
--- a/src/placement/fill.rs
+++ b/src/placement/fill.rs
@@ -2,7 +2,7 @@
 use super::flights::{Offer, is_adapter};
 use super::room::fits;
 use crate::daemon::assemble::Policy;
-use crate::fleet::config::Sort;
+use crate::fleet::config::ServiceKind;
 use crate::fleet::runner::Runner;
 use crate::fleet::slice::DutySlice;
 use crate::fleet::state::Change;
@@ -64,13 +64,13 @@
         let Some(head) = ctx.views.view.as_ref().and_then(|v| v.head()) else { return };
         self.listed = (list.to_vec(), ctx.now);
         ctx.log_event("runners-listed", list.len().to_string());
-        ctx.send(head, Msg::Op { id, attempt: 0, op: Op::Runners(list.to_vec()) });
+        ctx.send(head, Msg::OperatorCall { id, attempt: 0, op: OperatorCall::SetRunners(list.to_vec()) });
     }
 
     pub fn tell_head(&mut self, change: Change, ctx: &mut Context) {
         let Some(head) = ctx.views.view.as_ref().and_then(|v| v.head()) else { return };
         let id = ChangeId::random(ctx.rand);
-        ctx.send(head, Msg::Op { id, attempt: 0, op: Op::Internal(change) });
+        ctx.send(head, Msg::OperatorCall { id, attempt: 0, op: OperatorCall::Internal(change) });
     }
 
     /// A runner of the fleet.
@@ -87,7 +87,7 @@
     /// The runners whose reports tell what they hold.
     pub fn reporting<'a>(&self, s: &'a DutySlice) -> impl Iterator<Item = &'a Runner> + use<'a> {
         let bare_plain = self.bare_plain;
-        let plain = |r: &Runner| s.config.service(&r.service).is_some_and(|x| x.sort == Sort::Plain);
+        let plain = |r: &Runner| s.config.service(&r.service).is_some_and(|x| x.sort == ServiceKind::Plain);
         s.runners.iter().filter(move |r| !(bare_plain && plain(r)))
     }
 
--- a/src/placement/flights.rs
+++ b/src/placement/flights.rs
@@ -3,7 +3,7 @@
 use super::pacer::Pacer;
 use super::sequence::Sequences;
 use crate::fleet::config::{FleetConfig, Store};
-use crate::fleet::runner::{Report, Runner};
+use crate::fleet::runner::{Runner, RunnerReport};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use std::collections::BTreeMap;
@@ -98,16 +98,16 @@
     }
 
     /// What the runner gave up by an unload it has taken, while its report still shows it.
-    pub fn given_up(&self, report: &Report, name: &Name) -> bool {
+    pub fn given_up(&self, report: &RunnerReport, name: &Name) -> bool {
         self.rows.at(&report.instance).any(|f| f.name == *name && !f.load && f.answered)
     }
 
-    pub fn pending_mb(&self, report: &Report) -> u64 {
+    pub fn pending_mb(&self, report: &RunnerReport) -> u64 {
         let new = |f: &&Flight| f.load && !report.has(&f.name) && !report.loading.contains(&f.name);
         self.rows.at(&report.instance).filter(new).map(|f| f.mb).sum()
     }
 
-    pub fn pending_adapters(&self, report: &Report) -> u64 {
+    pub fn pending_adapters(&self, report: &RunnerReport) -> u64 {
         let new =
             |f: &&Flight| f.load && f.adapter && !report.has(&f.name) && !report.loading.contains(&f.name);
         self.rows.at(&report.instance).filter(new).count() as u64
@@ -141,13 +141,13 @@
     }
 
     /// Whether a report shows an order under way that is none of ours.
-    pub fn is_foreign(&self, report: &Report) -> bool {
+    pub fn is_foreign(&self, report: &RunnerReport) -> bool {
         let busy = report.busy || !report.loading.is_empty();
         busy && !self.rows.at(&report.instance).any(|f| !f.overdue)
     }
 
     /// Takes in a report; whether a load that the runner had taken is neither held nor under way.
-    pub fn told(&mut self, now: Time, report: &Report) -> bool {
+    pub fn told(&mut self, now: Time, report: &RunnerReport) -> bool {
         let mut vanished = false;
         self.rows.retain_at(&report.instance, |f| {
             let held = report.has(&f.name);
@@ -187,5 +187,5 @@
 #[derive(Clone)]
 pub struct Offer {
     pub runner: Runner,
-    pub report: Report,
+    pub report: RunnerReport,
 }
--- a/src/placement/holder.rs
+++ b/src/placement/holder.rs
@@ -68,8 +68,8 @@
     }
 
     pub fn ask(&mut self, ctx: &mut Context) {
-        let lively =
-            self.term != Term(0) && self.slice.as_ref().is_some_and(|s| s.plans.iter().any(|p| p.live()));
+        let lively = self.term != Term(0)
+            && self.slice.as_ref().is_some_and(|s| s.plans.iter().any(|p| p.is_running()));
         if ctx.now.since(self.asked) < if lively { ASK_SOON } else { ASK } {
             return;
         }
--- a/src/placement/job.rs
+++ b/src/placement/job.rs
@@ -57,7 +57,7 @@
     /// Takes up a decision. The routers are to be told of what gives way before its first order goes out.
     pub fn begin(&mut self, want: &Name, choice: Choice, why: &str, ctx: &mut Context) {
         let id = PlanId(ctx.rand.next() | 1);
-        let at = self.slice.as_ref().map_or(Version(0), |s| s.config_at);
+        let at = self.slice.as_ref().map_or(Version(0), |s| s.config_version);
         let plan = decision(id, at, want, &choice, why);
         let gone = choice.unloads.iter().map(|n| n.to_string()).collect::<Vec<_>>().join(",");
         ctx.log_event("plan-small", format!("{id} {} on {} instead of [{gone}]", plan.why, choice.runner));
--- a/src/placement/layout.rs
+++ b/src/placement/layout.rs
@@ -4,7 +4,7 @@
 use super::flights::{Offer, is_adapter};
 use super::picture::Picture;
 use super::room::{adapters_free, free_mb, idle_names};
-use crate::fleet::config::{FleetConfig, Ways};
+use crate::fleet::config::{FleetConfig, PlacementStrategy};
 use crate::kernel::ids::Name;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,10 +64,10 @@
             unload: vec![],
             load: vec![],
         };
-        if config.placement.way == Ways::Greedy && !busy {
+        if config.placement.way == PlacementStrategy::Greedy && !busy {
             let idle = idle_names(config, offer, &|_| false);
             room.unload = idle.into_iter().filter(|name| config.model(name).is_some()).collect();
-            room.free_mb += room.unload.iter().filter_map(|name| config.least_mb(name)).sum::<u64>();
+            room.free_mb += room.unload.iter().filter_map(|name| config.min_mb(name)).sum::<u64>();
         }
         let place = self.rooms.len();
         let held = offer.report.holds.iter().chain(&offer.report.loading);
