--- a/src/placement/look.rs
+++ b/src/placement/look.rs
@@ -1,7 +1,7 @@
 use super::choose::SETTLED;
 use super::duty::Placement;
-use crate::fleet::holdings::Want;
-use crate::fleet::runner::Report;
+use crate::fleet::holdings::UnmetDemand;
+use crate::fleet::runner::RunnerReport;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
@@ -72,7 +72,7 @@
             left -= 1;
             l.asked = Some(ctx.now);
             l.next = ctx.now + REST;
-            ctx.out.push(Effect::Look(r.instance.clone()));
+            ctx.effects.push(Effect::PollRunner(r.instance.clone()));
         }
     }
 
@@ -107,7 +107,7 @@
 
     /// A runner's told room has turned out wrong, unless its report shows that it was at work on something.
     pub fn load_failed(&mut self, runner: &Name, why: &str, ctx: &mut Context) {
-        let working = |r: &Report| r.busy || !r.loading.is_empty();
+        let working = |r: &RunnerReport| r.busy || !r.loading.is_empty();
         if self.reports.get(runner).is_some_and(|r| working(&r.1)) {
             return;
         }
@@ -118,19 +118,19 @@
     }
 
     /// A router misses what is known as held: both may be wrong.
-    pub fn check_held(&mut self, from: NodeId, rows: &[Want], ctx: &mut Context) {
+    pub fn check_held(&mut self, from: NodeId, rows: &[UnmetDemand], ctx: &mut Context) {
         if ctx.now.since(self.checked) < STALE || ctx.now.since(self.searched) < SEARCH_EVERY {
             return;
         }
         self.searched = ctx.now;
-        let known = |w: &&Want| self.reports.values().any(|r| r.1.has(&w.name));
+        let known = |w: &&UnmetDemand| self.reports.values().any(|r| r.1.has(&w.name));
         let names: Vec<Name> = rows.iter().filter(known).map(|w| w.name.clone()).collect();
         if names.is_empty() {
             return;
         }
         self.checked = ctx.now;
         self.push_whole(from, ctx);
-        let holds = |r: &Report| names.iter().any(|n| r.has(n));
+        let holds = |r: &RunnerReport| names.iter().any(|n| r.has(n));
         let runners: Vec<Name> = self.reports.iter().filter(|r| holds(&r.1.1)).map(|r| r.0.clone()).collect();
         for r in runners {
             self.look_at(&r, ctx.now);
@@ -138,13 +138,13 @@
     }
 
     /// A report that was made before one already known says nothing.
-    pub fn is_old(&self, now: Time, r: &Report) -> bool {
+    pub fn is_old(&self, now: Time, r: &RunnerReport) -> bool {
         let Some((at, old)) = self.reports.get(&r.instance) else { return false };
         r.orders < old.orders && now.since(*at) < STALE
     }
 
     /// Takes in a runner's report.
-    pub fn reported(&mut self, instance: &Name, r: &Report, ctx: &mut Context) {
+    pub fn reported(&mut self, instance: &Name, r: &RunnerReport, ctx: &mut Context) {
         if self.is_old(ctx.now, r) {
             return;
         }
@@ -169,7 +169,7 @@
         self.kept.entry(instance.clone()).or_default().extend(r.holds.iter().cloned());
     }
 
-    pub fn looked(&mut self, runner: &Name, report: Option<&Report>, ctx: &Context) {
+    pub fn looked(&mut self, runner: &Name, report: Option<&RunnerReport>, ctx: &Context) {
         let ends = self.flights.rows.at(runner).filter(|f| f.answered);
         let soon = ends.map(|f| f.end.max(ctx.now + AGAIN)).min();
         let busy = report.is_some_and(|r| r.running + r.waiting > 0);
--- a/src/placement/nominate.rs
+++ b/src/placement/nominate.rs
@@ -48,7 +48,7 @@
         }
         let idle: Vec<Name> =
             idle_names(c, o, wanted).into_iter().filter(|n| Some(n) != base.as_ref()).collect();
-        let idle_mb: u64 = idle.iter().filter_map(|n| c.least_mb(n)).sum();
+        let idle_mb: u64 = idle.iter().filter_map(|n| c.min_mb(n)).sum();
         if free_mb(c, o, f) + idle_mb >= mb {
             let big =
                 idle.iter().rev().find(|n| !f.has(&runner, n) && is_adapter(c, n) == is_adapter(c, want));
@@ -82,7 +82,7 @@
     let mut rows = Vec::new();
     for model in o.report.holds.iter().filter(|n| !is_adapter(c, n) && *n != want) {
         let runs = o.report.runs_of(model);
-        let frees = free_mb(c, o, f) + c.least_mb(model).unwrap_or(0) >= mb;
+        let frees = free_mb(c, o, f) + c.min_mb(model).unwrap_or(0) >= mb;
         if runs == 0 || !frees {
             continue;
         }
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -3,7 +3,7 @@
 use super::flights::{Flight, Offer, is_adapter};
 use super::job::Job;
 use super::room::fits;
-use crate::fleet::runner::Report;
+use crate::fleet::runner::RunnerReport;
 use crate::fleet::slice::DutySlice;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
@@ -79,7 +79,16 @@
         let what = if load { "load" } else { "unload" };
         ctx.log_event("runner-order", format!("{what} {name} on {runner} under {term}"));
         let (name, runner) = (name.clone(), offer.runner);
-        ctx.out.push(Effect::Drive(RunnerOrder { order, term, runner, load, name, adapter, expected, due }));
+        ctx.effects.push(Effect::OrderRunner(RunnerOrder {
+            order,
+            term,
+            runner,
+            load,
+            name,
+            adapter,
+            expected,
+            due,
+        }));
         Some(order)
     }
 
@@ -107,7 +116,7 @@
     }
 
     /// A report with what it leaves out taken from the configuration and from the routers.
-    pub fn known(&self, s: &DutySlice, r: &Report) -> Report {
+    pub fn known(&self, s: &DutySlice, r: &RunnerReport) -> RunnerReport {
         let mut r = self.distrust.corrected(&s.config, r.clone());
         let service = self.runner(s, &r.instance).map(|x| &x.service);
         let Some(service) = service.and_then(|n| s.config.service(n)) else { return r };
--- a/src/placement/picture.rs
+++ b/src/placement/picture.rs
@@ -1,13 +1,13 @@
 use super::flights::{Flights, Offer};
 use crate::fleet::FleetConfig;
-use crate::fleet::plan::{PlacementPlan, PlanStage, PlanState, Step};
+use crate::fleet::plan::{PlacementPlan, PlanStage, PlanState, PlanStep};
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
 use std::collections::BTreeMap;
 
 pub struct Picture<'a> {
     pub config: &'a FleetConfig,
-    pub config_at: Version,
+    pub config_version: Version,
     pub offers: Vec<Offer>,
     pub flights: &'a Flights,
     pub now: Time,
@@ -33,16 +33,16 @@
         loads.saturating_sub(spare) * 60_000 / self.config.store.loads_per_minute.max(1)
     }
 
-    pub fn stage(&self, name: &str, steps: Vec<Step>) -> PlanStage {
+    pub fn stage(&self, name: &str, steps: Vec<PlanStep>) -> PlanStage {
         let (mut ms, mut loads, mut tries) = (0, 0, 0);
         for s in &steps {
             match s {
-                Step::Load { name, .. } => {
+                PlanStep::Load { name, .. } => {
                     loads += 1;
                     ms = ms.max(self.config.load_ms(name) + STEP_MS);
                 }
-                Step::Unload { .. } => ms = ms.max(UNLOAD_MS),
-                Step::Move { model, from, to, want, .. } => {
+                PlanStep::Unload { .. } => ms = ms.max(UNLOAD_MS),
+                PlanStep::Move { model, from, to, want, .. } => {
                     let find = |n: &Name| self.offers.iter().find(|o| o.runner.instance == *n);
                     let runs = find(from).map_or(0, |o| o.report.runs_of(model));
                     let there = find(to).is_some_and(|o| o.report.has(model));
@@ -70,9 +70,9 @@
         };
         for s in stages.iter().flat_map(|s| &s.steps) {
             match s {
-                Step::Load { runner, name } => put(runner, name, true),
-                Step::Unload { runner, name } => put(runner, name, false),
-                Step::Move { model, from, to, want, .. } => {
+                PlanStep::Load { runner, name } => put(runner, name, true),
+                PlanStep::Unload { runner, name } => put(runner, name, false),
+                PlanStep::Move { model, from, to, want, .. } => {
                     put(to, model, true);
                     put(from, model, false);
                     put(from, want, true);
@@ -82,7 +82,7 @@
         PlacementPlan {
             id,
             at: Version(0),
-            config_at: self.config_at,
+            config_version: self.config_version,
             why,
             state: PlanState::Running,
             stage: 0,
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -3,7 +3,7 @@
 use super::nominate::Way;
 use super::picture::Picture;
 use super::room::{free_mb, idle_names};
-use crate::fleet::plan::{PlacementPlan, Step};
+use crate::fleet::plan::{PlacementPlan, PlanStep};
 use crate::kernel::ids::*;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 pub fn small(p: &Picture, id: PlanId, want: &Name, way: &Way, service: &Name, ms: u64) -> PlacementPlan {
     let why = format!("{want} is wanted; startup is estimated at {ms}ms");
     let load =
-        |runner: &Name| p.stage("load", vec![Step::Load { runner: runner.clone(), name: want.clone() }]);
+        |runner: &Name| p.stage("load", vec![PlanStep::Load { runner: runner.clone(), name: want.clone() }]);
     let stages = match way {
         Way::Load { runner } => vec![load(runner)],
         Way::Unload { runner, .. } => {
@@ -21,13 +21,13 @@
         Way::Move { from, to, model } => {
             let (id, service) = (MoveId(id.0), service.clone());
             let (model, from, to) = (model.clone(), from.clone(), to.clone());
-            vec![p.stage("move", vec![Step::Move { id, service, model, from, to, want: want.clone() }])]
+            vec![p.stage("move", vec![PlanStep::Move { id, service, model, from, to, want: want.clone() }])]
         }
     };
     p.plan(id, why, stages)
 }
 
-fn room_for(p: &Picture, runner: &Name, want: &Name) -> Vec<Step> {
+fn room_for(p: &Picture, runner: &Name, want: &Name) -> Vec<PlanStep> {
     let Some(o) = p.offers.iter().find(|o| o.runner.instance == *runner) else { return vec![] };
     let wanted = |n: &Name| p.demand_of(n) > 0;
     let base = p.config.adapter(want).map(|a| a.model.clone());
@@ -42,9 +42,9 @@
         if free >= need && slot {
             break;
         }
-        free += p.config.least_mb(&name).unwrap_or(0);
+        free += p.config.min_mb(&name).unwrap_or(0);
         slot |= is_adapter(p.config, &name);
-        steps.push(Step::Unload { runner: runner.clone(), name });
+        steps.push(PlanStep::Unload { runner: runner.clone(), name });
     }
     steps
 }
@@ -76,7 +76,7 @@
     let mut left = most;
     for n in 0.. {
         let nth = |room: &Room| Some(steps(room, std::slice::from_ref(room.load.get(n)?), true).remove(0));
-        let row: Vec<Step> = rooms.iter().filter_map(nth).take(left).collect();
+        let row: Vec<PlanStep> = rooms.iter().filter_map(nth).take(left).collect();
         if row.is_empty() {
             break;
         }
@@ -88,15 +88,15 @@
     plan
 }
 
-fn steps(room: &Room, names: &[Name], load: bool) -> Vec<Step> {
+fn steps(room: &Room, names: &[Name], load: bool) -> Vec<PlanStep> {
     let one = |name: &Name| {
         let (runner, name) = (room.runner.clone(), name.clone());
-        if load { Step::Load { runner, name } } else { Step::Unload { runner, name } }
+        if load { PlanStep::Load { runner, name } } else { PlanStep::Unload { runner, name } }
     };
     names.iter().map(one).collect()
 }
 
-fn leave(p: &Picture, layout: &mut Layout, id: PlanId) -> Vec<Step> {
+fn leave(p: &Picture, layout: &mut Layout, id: PlanId) -> Vec<PlanStep> {
     let mut out = Vec::new();
     let mut taken: BTreeMap<&Name, u64> = BTreeMap::new();
     for o in p.offers.iter().filter(|o| o.runner.leaving && !p.busy.contains(&o.runner.instance)) {
@@ -120,7 +120,7 @@
             if !to.report.has(model) {
                 layout.reserve(&to.runner.instance, model, mb);
             }
-            out.push(Step::Move {
+            out.push(PlanStep::Move {
                 id: MoveId(id.0 ^ (out.len() as u64 + 1)),
                 service: o.runner.service.clone(),
                 model: model.clone(),
--- a/src/placement/push.rs
+++ b/src/placement/push.rs
@@ -1,7 +1,7 @@
 //! What the holder of the placement duty tells routers of the runners' holdings.
 
 use super::duty::{Placement, REPORT};
-use crate::fleet::holdings::{HeldRow, HeldTell};
+use crate::fleet::holdings::{HoldingsUpdate, RunnerHoldings};
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
@@ -29,7 +29,7 @@
 pub struct Push {
     pub closing: BTreeMap<Name, BTreeSet<Name>>,
     seq: u64,
-    sent: BTreeMap<Name, HeldRow>,
+    sent: BTreeMap<Name, RunnerHoldings>,
     beat: Time,
     minor: Time,
     looked: Time,
@@ -53,8 +53,8 @@
 }
 
 impl Placement {
-    fn rows(&self, now: Time) -> BTreeMap<Name, HeldRow> {
-        let row = |(name, (at, r)): (&Name, &(Time, crate::fleet::runner::Report))| {
+    fn rows(&self, now: Time) -> BTreeMap<Name, RunnerHoldings> {
+        let row = |(name, (at, r)): (&Name, &(Time, crate::fleet::runner::RunnerReport))| {
             let mut closing = self.push.closing.get(name).cloned().unwrap_or_default();
             let going = self.flights.rows.at(name).filter(|f| f.unloads());
             closing.extend(going.map(|f| f.name.clone()));
@@ -65,7 +65,7 @@
                     r.holds.push(f.name.clone());
                 }
             }
-            (name.clone(), HeldRow::of(name, &r, &closing, now.since(*at) >= REPORT))
+            (name.clone(), RunnerHoldings::of(name, &r, &closing, now.since(*at) >= REPORT))
         };
         self.reports.iter().map(row).collect()
     }
@@ -98,7 +98,7 @@
         self.push.looked = ctx.now;
         let rows = self.rows(ctx.now);
         let old = &self.push.sent;
-        let news: Vec<HeldRow> = rows.values().filter_map(|r| r.after(old.get(&r.runner))).collect();
+        let news: Vec<RunnerHoldings> = rows.values().filter_map(|r| r.after(old.get(&r.runner))).collect();
         let minor = news.iter().all(|r| rows[&r.runner].minor(old.get(&r.runner)));
         let beat = ctx.now.since(self.push.beat) >= BEAT;
         let patience = Span(MINOR.0.max(gap.0 * MINOR_GAPS));
@@ -116,12 +116,12 @@
         let tell = Arc::new(self.tell(whole, relay, rows_told, ctx));
         let receivers = if relay { relays(self.push.seq, ctx) } else { self.routers(ctx) };
         for to in receivers {
-            ctx.send(to, Msg::Held(tell.clone()));
+            ctx.send(to, Msg::Holdings(tell.clone()));
         }
     }
 
-    fn tell(&self, whole: bool, relay: bool, rows: Vec<HeldRow>, ctx: &Context) -> HeldTell {
-        HeldTell { holder: ctx.me.node, term: self.term, seq: self.push.seq, whole, relay, rows }
+    fn tell(&self, whole: bool, relay: bool, rows: Vec<RunnerHoldings>, ctx: &Context) -> HoldingsUpdate {
+        HoldingsUpdate { holder: ctx.me.node, term: self.term, seq: self.push.seq, whole, relay, rows }
     }
 
     /// A router asks for all that is held; it is told in its turn.
@@ -149,7 +149,7 @@
             && let Some(to) = self.push.behind.pop_first()
         {
             self.push.rows_left = self.push.rows_left.saturating_sub(size);
-            ctx.send(to, Msg::Held(tell.clone()));
+            ctx.send(to, Msg::Holdings(tell.clone()));
         }
     }
 
--- a/src/placement/quick.rs
+++ b/src/placement/quick.rs
@@ -132,8 +132,9 @@
     pub(super) fn all_coming(&self, s: &DutySlice) -> BTreeSet<Name> {
         let ordered = self.flights.rows.values().filter(|f| f.load && !f.overdue).map(|f| &f.name);
         let decided = self.jobs.values().map(|job| job.want());
-        let planned = s.plans.iter().filter(|p| p.live()).flat_map(|p| p.steps()).filter_map(|x| x.wanted());
-        let moved = s.moves.iter().filter(|m| m.live()).map(|m| &m.want);
+        let planned =
+            s.plans.iter().filter(|p| p.is_running()).flat_map(|p| p.steps()).filter_map(|x| x.wanted());
+        let moved = s.moves.iter().filter(|m| m.is_active()).map(|m| &m.want);
         ordered.chain(decided).chain(planned).chain(moved).cloned().collect()
     }
 
--- a/src/placement/room.rs
+++ b/src/placement/room.rs
@@ -1,6 +1,6 @@
 use super::flights::{Flights, Offer, is_adapter};
 use crate::fleet::config::FleetConfig;
-use crate::fleet::runner::Report;
+use crate::fleet::runner::RunnerReport;
 use crate::kernel::ids::Name;
 
 pub fn free_mb(c: &FleetConfig, o: &Offer, f: &Flights) -> u64 {
@@ -8,13 +8,13 @@
     (r.room_mb + freed_mb(c, r, f)).saturating_sub(r.used_mb).saturating_sub(f.pending_mb(r))
 }
 
-fn goes(c: &FleetConfig, r: &Report, f: &Flights, name: &Name) -> bool {
+fn goes(c: &FleetConfig, r: &RunnerReport, f: &Flights, name: &Name) -> bool {
     f.given_up(r, name) || c.base_of(name).is_some_and(|model| f.given_up(r, model))
 }
 
-fn freed_mb(c: &FleetConfig, r: &Report, f: &Flights) -> u64 {
+fn freed_mb(c: &FleetConfig, r: &RunnerReport, f: &Flights) -> u64 {
     let gone = r.holds.iter().filter(|n| goes(c, r, f, n));
-    gone.filter_map(|n| c.least_mb(n)).sum()
+    gone.filter_map(|n| c.min_mb(n)).sum()
 }
 
 pub fn adapters_free(c: &FleetConfig, o: &Offer, f: &Flights) -> u64 {
@@ -40,7 +40,7 @@
     let r = &o.report;
     let used = |n: &Name| r.runs_of(c.base_of(n).unwrap_or(n)) > 0;
     let mut rows: Vec<Name> =
-        r.holds.iter().filter(|n| !used(n) && !wanted(n) && c.least_mb(n).is_some()).cloned().collect();
-    rows.sort_by_key(|n| (c.least_mb(n).unwrap_or(0), n.clone()));
+        r.holds.iter().filter(|n| !used(n) && !wanted(n) && c.min_mb(n).is_some()).cloned().collect();
+    rows.sort_by_key(|n| (c.min_mb(n).unwrap_or(0), n.clone()));
     rows
 }
--- a/src/placement/seeker.rs
+++ b/src/placement/seeker.rs
@@ -1,6 +1,6 @@
 //! A router's side of placement: it tells wants, follows holdings, and knows the holder of the duty.
 
-use crate::fleet::holdings::{HeldTell, Want};
+use crate::fleet::holdings::{HoldingsUpdate, UnmetDemand};
 use crate::kernel::component::{Component, Context};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
@@ -49,7 +49,7 @@
     seq: u64,
     asked: Time,
     behind: bool,
-    wants: BTreeMap<Name, Want>,
+    wants: BTreeMap<Name, UnmetDemand>,
     sent: BTreeMap<Name, Time>,
     /// When wants were last sent, or dropped.
     flushed: Time,
@@ -87,8 +87,8 @@
         }
     }
 
-    fn add(&mut self, want: &Want) {
-        let row = self.wants.entry(want.name.clone()).or_insert(Want { count: 0, ..want.clone() });
+    fn add(&mut self, want: &UnmetDemand) {
+        let row = self.wants.entry(want.name.clone()).or_insert(UnmetDemand { count: 0, ..want.clone() });
         row.count += want.count;
         row.class = row.class.min(want.class);
     }
@@ -105,7 +105,7 @@
         }
         self.sent.retain(|_, t| ctx.now.since(*t) < GATHER);
         let held = |n: &Name| self.sent.contains_key(n);
-        let rows: Vec<Want> = self.wants.values().filter(|w| !held(&w.name)).cloned().collect();
+        let rows: Vec<UnmetDemand> = self.wants.values().filter(|w| !held(&w.name)).cloned().collect();
         if rows.is_empty() {
             return;
         }
@@ -115,24 +115,24 @@
         }
         self.flushed = ctx.now;
         for to in holders {
-            ctx.send(to, Msg::Want(rows.clone()));
+            ctx.send(to, Msg::UnmetDemand(rows.clone()));
         }
     }
 
     /// Passes holdings on to the other routers of this zone.
-    fn relay(tell: &HeldTell, ctx: &mut Context) {
-        let passed = Arc::new(HeldTell { relay: false, ..tell.clone() });
+    fn relay(tell: &HoldingsUpdate, ctx: &mut Context) {
+        let passed = Arc::new(HoldingsUpdate { relay: false, ..tell.clone() });
         let is_mate = |row: &&Row| {
             let who = &row.who;
             who.role == Role::Router && who.domain == ctx.me.domain && who.node != ctx.me.node
         };
         let mates: Vec<NodeId> = ctx.views.members.iter().filter(is_mate).map(|row| row.who.node).collect();
         for mate in mates {
-            ctx.send(mate, Msg::Held(passed.clone()));
+            ctx.send(mate, Msg::Holdings(passed.clone()));
         }
     }
 
-    fn told(&mut self, tell: &HeldTell, ctx: &mut Context) {
+    fn told(&mut self, tell: &HoldingsUpdate, ctx: &mut Context) {
         let newer = tell.term > self.contact.term;
         if tell.term < self.contact.term || (!newer && tell.seq < self.seq) {
             return;
@@ -149,7 +149,7 @@
         let old = !tell.whole && !newer && tell.seq == self.seq;
         self.seq = tell.seq;
         if !old && !tell.rows.is_empty() {
-            ctx.out.push(Effect::Held(tell.rows.clone()));
+            ctx.effects.push(Effect::Holdings(tell.rows.clone()));
         }
     }
 
@@ -160,7 +160,7 @@
         if (self.behind || quiet) && ctx.now.since(self.asked) >= gap {
             self.asked = ctx.now;
             for to in self.asked_for_holdings(ctx) {
-                ctx.send(to, Msg::HeldAsk);
+                ctx.send(to, Msg::HoldingsRequest);
             }
         }
     }
@@ -173,11 +173,11 @@
 
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         match ev {
-            Event::Wanted(want) => {
+            Event::NameWanted(want) => {
                 self.add(want);
                 self.flush(ctx);
             }
-            Event::Mail { msg: Msg::Held(tell), .. } => {
+            Event::Message { msg: Msg::Holdings(tell), .. } => {
                 if tell.relay {
                     Self::relay(tell, ctx);
                 }
--- a/src/placement/sequence.rs
+++ b/src/placement/sequence.rs
@@ -6,7 +6,7 @@
 //! was taken, and the orders of a predecessor that this holder has not heard of void its own.
 #![deny(missing_docs)]
 
-use crate::fleet::runner::Report;
+use crate::fleet::runner::RunnerReport;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
     }
 
     /// Takes in a report that was asked for at `asked`; what it tells may be older still.
-    pub fn reported(&mut self, now: Time, asked: Time, report: &Report) {
+    pub fn reported(&mut self, now: Time, asked: Time, report: &RunnerReport) {
         let new = Count { taken: report.orders, since: now, doubted: None };
         let count = self.rows.entry(report.instance.clone()).or_insert(new);
         let lags = report.orders < count.taken && now.since(count.since) < REPORTS_LAG;
--- a/src/placement/stages.rs
+++ b/src/placement/stages.rs
@@ -29,7 +29,7 @@
         let Some(s) = self.slice.clone() else { return };
         self.record_begun(&s, ctx);
         self.phases.retain(|id, _| s.moves.iter().any(|m| m.id == *id));
-        for m in s.moves.iter().filter(|m| m.live()) {
+        for m in s.moves.iter().filter(|m| m.is_active()) {
             self.stage(m, &s, ctx);
         }
         self.run_plans(&s, ctx);
--- a/src/placement/trial.rs
+++ b/src/placement/trial.rs
@@ -1,5 +1,5 @@
 use super::picture::Picture;
-use crate::fleet::plan::{PlacementPlan, Step};
+use crate::fleet::plan::{PlacementPlan, PlanStep};
 use crate::kernel::ids::Name;
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
     for (n, stage) in plan.stages.iter().enumerate() {
         for s in &stage.steps {
             let mut put = |runner: &Name, name: &Name, on: bool| {
-                let mb = if on { p.config.weight(name) } else { p.config.least_mb(name) }.unwrap_or(0);
+                let mb = if on { p.config.weight(name) } else { p.config.min_mb(name) }.unwrap_or(0);
                 let Some(row) = p.offers.iter().find(|o| o.runner.instance == *runner) else {
                     faults.push(format!("stage {n}: {runner} does not report; bring it back or drop it"));
                     return;
@@ -40,15 +40,15 @@
                 }
             };
             match s {
-                Step::Load { runner, name } => put(runner, name, true),
-                Step::Unload { runner, name } => {
+                PlanStep::Load { runner, name } => put(runner, name, true),
+                PlanStep::Unload { runner, name } => {
                     put(runner, name, false);
                     let o = p.offers.iter().find(|o| o.runner.instance == *runner);
                     if o.is_some_and(|o| o.report.runs_of(name) > 0) {
                         faults.push(format!("stage {n}: streams of {name} run on {runner}; move them first"));
                     }
                 }
-                Step::Move { service, model, from, to, want, .. } => {
+                PlanStep::Move { service, model, from, to, want, .. } => {
                     let there = p.offers.iter().any(|o| o.runner.instance == *to && o.report.has(model));
                     if !there {
                         put(to, model, true);
--- a/src/placement/uses.rs
+++ b/src/placement/uses.rs
@@ -2,10 +2,10 @@
 
 use super::duty::Placement;
 use crate::fleet::config::Class;
-use crate::fleet::holdings::Want;
+use crate::fleet::holdings::UnmetDemand;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
-use crate::msg::RouterTell;
+use crate::msg::RouterReport;
 use crate::rollout::tell::report_freshness;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -49,7 +49,7 @@
 
 impl Usage {
     fn of(
-        tells: &BTreeMap<NodeId, (Time, Arc<RouterTell>)>,
+        tells: &BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
         used: &BTreeMap<Name, Time>,
         now: Time,
     ) -> Usage {
@@ -93,7 +93,7 @@
 
 impl Placement {
     /// Takes in what a router tells of itself.
-    pub fn told(&mut self, from: NodeId, tell: &Arc<RouterTell>, now: Time) {
+    pub fn told(&mut self, from: NodeId, tell: &Arc<RouterReport>, now: Time) {
         for u in &tell.uses {
             match self.used.get_mut(&u.name) {
                 Some(last) => *last = (*last).max(now - u.idle),
@@ -102,7 +102,7 @@
         }
         for (service, name, count) in &tell.demand {
             let class = Class::Bulk;
-            let want = Want { service: service.clone(), name: name.clone(), class, count: *count };
+            let want = UnmetDemand { service: service.clone(), name: name.clone(), class, count: *count };
             self.wanted(from, &want, now);
         }
         self.tells.insert(from, (now, tell.clone()));
--- a/src/placement/wants.rs
+++ b/src/placement/wants.rs
@@ -3,7 +3,7 @@
 
 use super::duty::Placement;
 use crate::fleet::config::Class;
-use crate::fleet::holdings::Want;
+use crate::fleet::holdings::UnmetDemand;
 use crate::kernel::ids::{Name, NodeId};
 use crate::kernel::time::{Span, Time};
 use std::cell::Cell;
@@ -51,7 +51,7 @@
 
 impl Placement {
     /// A router tells what its requests wait for.
-    pub fn wanted(&mut self, from: NodeId, want: &Want, now: Time) {
+    pub fn wanted(&mut self, from: NodeId, want: &UnmetDemand, now: Time) {
         let row = self.wants.entry(want.name.clone()).or_insert_with(|| {
             self.work.stirred = true;
             Wanted {
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -93,7 +93,7 @@
     };
     let mut s = Service {
         name: Name::from(name),
-        sort: Sort::Plain,
+        sort: ServiceKind::Plain,
         inbox: 4096,
         slots: 10_000,
         links: t.num("MaxConnections").unwrap_or(1024),
@@ -107,7 +107,7 @@
         routes: vec![],
     };
     if let Some(e) = t.get("Engine") {
-        s.sort = Sort::Assistant;
+        s.sort = ServiceKind::Assistant;
         s.slots = e.num("CapacitySlots").unwrap_or(8).max(1);
         s.tokens = e.num("KvCapacity").unwrap_or(0);
         s.stride = e.num("Stride").unwrap_or(1).max(1);
--- a/src/platform/operator.rs
+++ b/src/platform/operator.rs
@@ -6,7 +6,7 @@
 use crate::fleet::config::Budget;
 use crate::kernel::fault::Fault;
 use crate::kernel::ids::{ChangeId, DocumentDigest};
-use crate::msg::{Answer, Event, Op};
+use crate::msg::{Answer, Event, OperatorCall};
 use crate::protocol::{OperatorProtocol, OperatorRequest};
 
 /// What the settings say of every configuration: the rules' own figures.
@@ -71,7 +71,7 @@
             return None;
         }
         if method == "GET" {
-            return Some(OperatorRequest::Event(Box::new(Event::Ask { id, path: "source".into() })));
+            return Some(OperatorRequest::Event(Box::new(Event::OperatorRead { id, path: "source".into() })));
         }
         if method != "PUT" && method != "PATCH" {
             return Some(OperatorRequest::Bad(Answer::new(
@@ -87,8 +87,8 @@
                 return Some(OperatorRequest::Bad(Answer::new(412, "stale-base", &why.to_string(), 0)));
             }
         };
-        let op = Op::Foreign { base, part: method == "PATCH", text: text.to_string() };
-        Some(OperatorRequest::Event(Box::new(Event::Op { id, op })))
+        let op = OperatorCall::PlatformConfig { base, part: method == "PATCH", text: text.to_string() };
+        Some(OperatorRequest::Event(Box::new(Event::OperatorCall { id, op })))
     }
 
     fn status(&self, answer: &Answer) -> u16 {
--- a/src/platform/runner.rs
+++ b/src/platform/runner.rs
@@ -1,4 +1,4 @@
-use crate::fleet::runner::{Report, Runner};
+use crate::fleet::runner::{Runner, RunnerReport};
 use crate::gate::order::Order;
 use crate::json::Tree;
 use crate::json::tree::map;
@@ -131,9 +131,9 @@
         call("GET", "/spindledock/report", runner, String::new())
     }
 
-    fn read_report(&self, runner: &Runner, body: &[u8]) -> Option<Report> {
+    fn read_report(&self, runner: &Runner, body: &[u8]) -> Option<RunnerReport> {
         let t = Tree::parse(std::str::from_utf8(body).ok()?).ok()?;
-        Some(Report {
+        Some(RunnerReport {
             instance: runner.instance.clone(),
             leaving: t.text("OperState") == Some("draining") || t.get("RemainingMs").is_some(),
             holds: holds(&t),
@@ -142,7 +142,7 @@
             orders: t.num("Sequence").unwrap_or(0),
             tokens: t.num("KvInUse").unwrap_or(0),
             busy: t.flag("Utilization").unwrap_or(false),
-            ..Report::default()
+            ..RunnerReport::default()
         })
     }
 
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -1,6 +1,6 @@
 use crate::fleet::FleetConfig;
 use crate::fleet::config::Route;
-use crate::fleet::runner::{Report, Runner};
+use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::tenants::KeyDigest;
 use crate::gate::order::{Order, Parts, Size};
 use crate::http::own::{OwnCaller, OwnRunner};
@@ -93,7 +93,7 @@
     /// Whether runners of plain services report too.
     fn plain_services_report(&self) -> bool;
     fn report(&self, runner: &Runner) -> Call;
-    fn read_report(&self, runner: &Runner, body: &[u8]) -> Option<Report>;
+    fn read_report(&self, runner: &Runner, body: &[u8]) -> Option<RunnerReport>;
     fn order_request(&self, order: &RunnerOrder) -> Call;
 }
 
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -23,7 +23,7 @@
 
 /// What is forwarded.
 enum Call {
-    Write(Box<Op>),
+    Write(Box<OperatorCall>),
     Read(String),
 }
 
@@ -43,9 +43,11 @@
 }
 
 /// How long the caller of a write waits for its answer.
-pub fn write_patience(op: &Op) -> Span {
+pub fn write_patience(op: &OperatorCall) -> Span {
     match op {
-        Op::Foreign { text, .. } => CALLER_PATIENCE + Span(PATIENCE_PER_KIB.0 * (text.len() as u64 / 1024)),
+        OperatorCall::PlatformConfig { text, .. } => {
+            CALLER_PATIENCE + Span(PATIENCE_PER_KIB.0 * (text.len() as u64 / 1024))
+        }
         _ => REHEARSAL_PATIENCE,
     }
 }
@@ -104,8 +106,8 @@
         let (Some(job), Some(view)) = (self.jobs.get_mut(&id), &ctx.views.view) else { return };
         let attempt = job.attempt;
         let (to, msg) = match &job.call {
-            Call::Write(op) => (view.head(), Msg::Op { id, attempt, op: Op::clone(op) }),
-            Call::Read(path) => (view.tail(), Msg::Ask { attempt, path: path.clone() }),
+            Call::Write(op) => (view.head(), Msg::OperatorCall { id, attempt, op: OperatorCall::clone(op) }),
+            Call::Read(path) => (view.tail(), Msg::OperatorRead { attempt, path: path.clone() }),
         };
         if let Some(to) = to {
             job.sent = Some(ctx.now);
@@ -177,20 +179,20 @@
 
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         match ev {
-            Event::Op { id, op } => {
-                if let Op::Leaving(name) = op {
+            Event::OperatorCall { id, op } => {
+                if let OperatorCall::MarkLeaving(name) = op {
                     ctx.publish(JournalEvent::RunnerMarked(name.clone()));
                 }
                 self.add(*id, Call::Write(Box::new(op.clone())), ctx);
             }
-            Event::Ask { id, path } => self.add(*id, Call::Read(path.clone()), ctx),
-            Event::Mail { msg: Msg::OpEnd { id, attempt, answer }, .. } => {
+            Event::OperatorRead { id, path } => self.add(*id, Call::Read(path.clone()), ctx),
+            Event::Message { msg: Msg::CallAnswer { id, attempt, answer }, .. } => {
                 self.write_ended(*id, *attempt, answer, ctx)
             }
-            Event::Mail { msg: Msg::AskEnd { attempt, answer }, .. } => {
+            Event::Message { msg: Msg::ReadAnswer { attempt, answer }, .. } => {
                 self.read_ended(*attempt, answer, ctx)
             }
-            Event::Mail { msg: Msg::OpPending { id, attempt }, .. } => self.pending(*id, *attempt),
+            Event::Message { msg: Msg::CallPending { id, attempt }, .. } => self.pending(*id, *attempt),
             Event::Journal(JournalEvent::ViewInstalled(_) | JournalEvent::ViewHeard(_)) => {
                 self.view_changed(ctx)
             }
--- a/src/rollout/head.rs
+++ b/src/rollout/head.rs
@@ -29,7 +29,7 @@
 
 #[derive(Default)]
 pub struct Rollout {
-    tells: BTreeMap<NodeId, (Time, Arc<RouterTell>)>,
+    tells: BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
     trial: Option<Trial>,
     asked: Option<(ChangeId, Time)>,
     spread: Option<(Version, Time)>,
@@ -56,12 +56,12 @@
 
     fn rules(ctx: &Context, c: &Candidate) -> Rules {
         let now = &ctx.views.state;
-        if now.config_at > Version(0) { now.config.rollout.clone() } else { c.config.rollout.clone() }
+        if now.config_version > Version(0) { now.config.rollout.clone() } else { c.config.rollout.clone() }
     }
 
     fn tick(&mut self, ctx: &mut Context) {
         self.spread_tick(ctx);
-        let Some(candidate) = &ctx.views.state.trial else {
+        let Some(candidate) = &ctx.views.state.candidate else {
             self.trial = None;
             return;
         };
@@ -97,7 +97,7 @@
             }
             return;
         }
-        let fresh: BTreeMap<NodeId, &Arc<RouterTell>> = self
+        let fresh: BTreeMap<NodeId, &Arc<RouterReport>> = self
             .tells
             .iter()
             .filter(|(n, row)| routers.contains(n) && ctx.now.since(row.0) < TELL && row.0 >= t.since)
@@ -107,7 +107,7 @@
         let a = if t.rehearsing { &rules.rehearse } else { &rules.deliver };
         let done = |n: &NodeId| {
             fresh.get(n).is_some_and(|r| match t.rehearsing {
-                false => r.trial_seen == id,
+                false => r.candidate_seen == id,
                 true => r.rehearsal.as_ref().is_some_and(|x| x.id == id),
             })
         };
@@ -133,7 +133,7 @@
                 t.nudged = ctx.now;
                 t.tries += 1;
                 for n in late {
-                    ctx.send(n, Msg::Nudge);
+                    ctx.send(n, Msg::RequestUpdates);
                 }
             }
             return;
@@ -145,8 +145,8 @@
             t.tries = 1;
             return;
         }
-        let rows: Vec<Rehearsal> = fresh.values().filter_map(|r| r.rehearsal.clone()).collect();
-        let sum = |f: &dyn Fn(&Rehearsal) -> u64| rows.iter().map(f).sum::<u64>();
+        let rows: Vec<RehearsalResult> = fresh.values().filter_map(|r| r.rehearsal.clone()).collect();
+        let sum = |f: &dyn Fn(&RehearsalResult) -> u64| rows.iter().map(f).sum::<u64>();
         let (planned, refused) = (sum(&|r| r.planned), sum(&|r| r.refused));
         let (bare, worst) = (sum(&|r| r.without_holder), rows.iter().map(|r| r.worst_us).max().unwrap_or(0));
         let why = rows.iter().map(|r| r.why.as_str()).find(|w| !w.is_empty()).unwrap_or("");
@@ -176,7 +176,7 @@
     fn spread_tick(&mut self, ctx: &mut Context) {
         let Some((at, since)) = self.spread else { return };
         let routers = Self::routers(ctx);
-        let all = routers.iter().all(|n| self.tells.get(n).is_some_and(|r| r.1.routes_at >= at));
+        let all = routers.iter().all(|n| self.tells.get(n).is_some_and(|r| r.1.routes_version >= at));
         if all && !routers.is_empty() {
             let ms = ctx.now.since(since).as_ms();
             self.spread = None;
@@ -193,7 +193,7 @@
 
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         match ev {
-            Event::Mail { from, msg: Msg::Tell(tell), .. } => {
+            Event::Message { from, msg: Msg::RouterReport(tell), .. } => {
                 self.tells.insert(*from, (ctx.now, tell.clone()));
             }
             Event::Journal(JournalEvent::Submitted(change)) => {
@@ -207,7 +207,7 @@
                 }
                 self.tick(ctx);
             }
-            Event::Work => {
+            Event::DutyTick => {
                 self.forget_old_reports(ctx.now);
                 self.tick(ctx);
             }
--- a/src/rollout/tell.rs
+++ b/src/rollout/tell.rs
@@ -49,7 +49,7 @@
 struct ToldHead {
     trial: ChangeId,
     rehearsed: ChangeId,
-    routes_at: Version,
+    routes_version: Version,
     leaving: Vec<Name>,
 }
 
@@ -76,34 +76,34 @@
         }
     }
 
-    fn tell_all(tell: &Arc<RouterTell>, ctx: &mut Context) {
+    fn tell_all(tell: &Arc<RouterReport>, ctx: &mut Context) {
         let receivers: Vec<NodeId> = ctx.views.controllers().map(|row| row.who.node).collect();
         for to in receivers {
-            ctx.send(to, Msg::Tell(tell.clone()));
+            ctx.send(to, Msg::RouterReport(tell.clone()));
         }
     }
 
-    fn tell_users(&mut self, tell: &Arc<RouterTell>, routers: usize, ctx: &mut Context) {
+    fn tell_users(&mut self, tell: &Arc<RouterReport>, routers: usize, ctx: &mut Context) {
         let head = ctx.views.view.as_ref().and_then(View::head);
         let news = self.is_news_for_head(tell);
         if let Some(head) = head.filter(|_| news) {
-            ctx.send(head, Msg::Tell(tell.clone()));
+            ctx.send(head, Msg::RouterReport(tell.clone()));
         }
         if ctx.now < self.due && !news {
             return;
         }
         self.due = next_turn(ctx.me.node, report_interval(routers), ctx.now);
         if let Some(holder) = self.holder.filter(|holder| !news || head != Some(*holder)) {
-            ctx.send(holder, Msg::Tell(tell.clone()));
+            ctx.send(holder, Msg::RouterReport(tell.clone()));
         }
     }
 
     /// Whether the head is to be told at once. It is told anew as long as a change is tried or a runner is leaving.
-    fn is_news_for_head(&mut self, tell: &RouterTell) -> bool {
+    fn is_news_for_head(&mut self, tell: &RouterReport) -> bool {
         let told = ToldHead {
-            trial: tell.trial_seen,
+            trial: tell.candidate_seen,
             rehearsed: tell.rehearsal.as_ref().map(|rehearsal| rehearsal.id).unwrap_or_default(),
-            routes_at: tell.routes_at,
+            routes_version: tell.routes_version,
             leaving: tell.leaving.clone(),
         };
         let lasts = told.trial != ChangeId::default() || !told.leaving.is_empty();
@@ -129,9 +129,9 @@
         match ev {
             Event::Journal(JournalEvent::Members(rows)) => {
                 let known = rows.iter().filter(|r| r.who.role == Role::Router);
-                ctx.out.push(Effect::Routers(known.count() as u64));
+                ctx.effects.push(Effect::RouterCount(known.count() as u64));
             }
-            Event::Mail { msg: Msg::Held(tell), .. } => {
+            Event::Message { msg: Msg::Holdings(tell), .. } => {
                 self.contact.heard(tell.holder, tell.term, ctx.now);
             }
             Event::RouterState(tell) => {
--- a/src/router_report.rs
+++ b/src/router_report.rs
@@ -1,24 +1,24 @@
-use crate::fleet::holdings::UseTell;
+use crate::fleet::holdings::NameUsage;
 use crate::kernel::ids::*;
 use bitcode::{Decode, Encode};
 
 #[derive(Clone, PartialEq, Debug, Default, Encode, Decode)]
-pub struct RouterTell {
-    pub trial_seen: ChangeId,
-    pub routes_at: Version,
-    pub rehearsal: Option<Rehearsal>,
-    pub moves: Vec<MoveTell>,
+pub struct RouterReport {
+    pub candidate_seen: ChangeId,
+    pub routes_version: Version,
+    pub rehearsal: Option<RehearsalResult>,
+    pub moves: Vec<MoveProgress>,
     pub demand: Vec<(Name, Name, u64)>,
     pub tries: Vec<(Name, u64, u64, u64)>,
     pub leaving: Vec<Name>,
-    pub uses: Vec<UseTell>,
+    pub uses: Vec<NameUsage>,
     pub active: Vec<(Name, Name, u64)>,
-    pub live: Vec<LiveRoute>,
+    pub live: Vec<RouteTraffic>,
 }
 
 /// How many orders a router took lately by one route.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub struct LiveRoute {
+pub struct RouteTraffic {
     pub service: Name,
     pub host: String,
     pub prefix: String,
@@ -26,7 +26,7 @@
 }
 
 #[derive(Clone, PartialEq, Debug, Default, Encode, Decode)]
-pub struct Rehearsal {
+pub struct RehearsalResult {
     pub id: ChangeId,
     pub planned: u64,
     pub refused: u64,
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, PartialEq, Debug, Default, Encode, Decode)]
-pub struct MoveTell {
+pub struct MoveProgress {
     pub id: MoveId,
     pub left: u64,
     pub moved: u64,
--- a/src/runner_list/reader.rs
+++ b/src/runner_list/reader.rs
@@ -52,7 +52,7 @@
         if age >= self.timing.patience(0, 1) && age >= self.patience(ctx) {
             self.asked = ctx.now;
             ctx.log_event("runner-list-unread", format!("for {}, read here", ctx.now.since(self.newest)));
-            ctx.out.push(Effect::ReadList);
+            ctx.effects.push(Effect::ReadList);
         }
     }
 
@@ -105,8 +105,8 @@
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         match ev {
             Event::Tick => self.step_in(ctx),
-            Event::Listed(listing) => self.read(listing, ctx),
-            Event::Mail { msg: Msg::ListRead(read), .. } => {
+            Event::RunnersListed(listing) => self.read(listing, ctx),
+            Event::Message { msg: Msg::ListRead(read), .. } => {
                 self.newest = self.newest.max(ctx.now - read.age);
             }
             _ => {}
--- a/src/sim/callers.rs
+++ b/src/sim/callers.rs
@@ -5,7 +5,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::rand::{Rand, mix};
 use crate::kernel::time::{Span, Time};
-use crate::msg::{self, Op, Role};
+use crate::msg::{self, OperatorCall, Role};
 
 #[derive(Clone, Debug)]
 pub struct SimFlow {
@@ -169,7 +169,7 @@
             n.held.push_back(Event::Do(Box::new(move |w: &mut World| w.operate(place, ev))));
             return;
         }
-        if let msg::Event::Op { op: Op::Leaving(name), .. } = &ev {
+        if let msg::Event::OperatorCall { op: OperatorCall::MarkLeaving(name), .. } = &ev {
             self.learnt_leaving(name.clone(), place);
         }
         self.feed(place, ev);
--- a/src/sim/check_config.rs
+++ b/src/sim/check_config.rs
@@ -83,12 +83,12 @@
 fn learnt(w: &World, r: &Replay) -> Bad {
     let mut bad = Bad::new();
     for (t, f) in &w.record.rows {
-        let Fact::Learnt { place, scope, at, config_at, print } = f else { continue };
+        let Fact::TopicChange { place, scope, at, config_version, print } = f else { continue };
         if !r.known(*t) || *at == Version(0) || *print == 0 {
             continue;
         }
         let named = scope.strip_prefix("service:");
-        let seen = if named.is_some() { config_at } else { at };
+        let seen = if named.is_some() { config_version } else { at };
         if *seen == Version(0) {
             continue;
         }
@@ -97,8 +97,8 @@
             continue;
         };
         let want = match named {
-            None => Some(c.routes.print()),
-            Some(n) => c.config.service(&Name::from(n)).map(|s| service_slice(&c.config, s).print()),
+            None => Some(c.routes.fingerprint()),
+            Some(n) => c.config.service(&Name::from(n)).map(|s| service_slice(&c.config, s).fingerprint()),
         };
         if want != Some(*print) {
             bad.push(format!("6 node {place} holds {scope} of {seen} with other content than was taken"));
@@ -113,8 +113,11 @@
     let Some(node) = best.max_by_key(|n| n.views.state.at) else { return bad };
     let state = &node.views.state;
     if let (Some(last), None) = (r.taken.last(), r.known_until) {
-        if state.config_at != last.at {
-            bad.push(format!("6 {} is in force at the end, {} was the last taken", state.config_at, last.at));
+        if state.config_version != last.at {
+            bad.push(format!(
+                "6 {} is in force at the end, {} was the last taken",
+                state.config_version, last.at
+            ));
         } else if hash(&state.config.tree().to_string(), 4) != last.print {
             bad.push(format!("6 the content of {} at the end is not what was acknowledged", last.at));
         }
--- a/src/sim/cost.rs
+++ b/src/sim/cost.rs
@@ -20,7 +20,7 @@
 
 impl Cost {
     pub fn sent(&mut self, place: usize, letter: &Envelope) {
-        let bytes = wire::pack(letter).len() as u64;
+        let bytes = wire::encode_envelope(letter).len() as u64;
         let kind = self.kinds.entry(letter.msg.kind()).or_default();
         for row in [self.nodes.entry(place).or_default(), kind] {
             row.letters += 1;
--- a/src/sim/disk.rs
+++ b/src/sim/disk.rs
@@ -6,7 +6,7 @@
 use crate::kernel::fault::Fault;
 use crate::kernel::folder::Folder;
 use crate::kernel::log_format::{self, Content};
-use crate::kernel::rand::{Rand, Seeded};
+use crate::kernel::rand::{Rand, SeededRandom};
 use crate::msg::Record;
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -32,7 +32,7 @@
 
     /// The machine loses its power: each file is kept, torn or lost by itself, as far as it was not synced.
     pub fn lose_unsynced(&self, seed: u64) {
-        let mut rand = Seeded(seed);
+        let mut rand = SeededRandom(seed);
         self.folder.lose_power(|below| rand.below(below));
     }
 
--- a/src/sim/effects.rs
+++ b/src/sim/effects.rs
@@ -27,38 +27,38 @@
                 self.nodes[place].disk.wipe();
                 self.start_node(place);
             }
-            Effect::Learn { scope, at, slice, proven } => {
+            Effect::TopicUpdate { scope, at, slice, proven } => {
                 let now = self.local(place);
-                if let Some((config_at, print)) = slice.as_ref().map(|s| s.print()) {
+                if let Some((config_version, print)) = slice.as_ref().map(|s| s.fingerprint()) {
                     let scope = scope_name(&scope);
-                    self.note(Fact::Learnt { place, scope, at, config_at, print });
+                    self.note(Fact::TopicChange { place, scope, at, config_version, print });
                 }
                 self.nodes[place].table.clone().learn(now, &scope, at, slice, proven);
             }
-            Effect::Leased { scopes, until } => {
+            Effect::ServingLease { scopes, until } => {
                 let now = self.local(place);
                 self.nodes[place].table.lease(now, &scopes, until);
             }
-            Effect::Mark(name) => {
+            Effect::RunnerLeaving(name) => {
                 let now = self.local(place);
                 self.nodes[place].table.mark(now, &name);
             }
-            Effect::Routers(n) => self.nodes[place].routers = n,
-            Effect::Watch(list) => self.nodes[place].watch = list,
+            Effect::RouterCount(n) => self.nodes[place].routers = n,
+            Effect::PollRunners(list) => self.nodes[place].watch = list,
             Effect::ReadList => self.ask_list(place, life),
-            Effect::Holds(on) => self.nodes[place].reads_list = on,
+            Effect::HoldsDuty(on) => self.nodes[place].reads_list = on,
             Effect::QuotaGranted(grants) => {
                 let now = self.local(place);
                 self.nodes[place].table.quota.lock().unwrap().granted(now, &grants);
             }
-            Effect::Look(runner) => self.later(Span(1), Event::Looked { place, life, runner }),
-            Effect::Held(rows) => {
+            Effect::PollRunner(runner) => self.later(Span(1), Event::Looked { place, life, runner }),
+            Effect::Holdings(rows) => {
                 let now = self.local(place);
                 self.nodes[place].table.clone().held(now, &rows);
             }
             Effect::Ready(r) => self.nodes[place].ready = r,
             Effect::Leaving(d) => self.nodes[place].departure = Some(d),
-            Effect::Drive(order) => self.drive(place, life, order),
+            Effect::OrderRunner(order) => self.drive(place, life, order),
             Effect::Save(_) | Effect::Rewrite(_) => {}
         }
     }
--- a/src/sim/front.rs
+++ b/src/sim/front.rs
@@ -45,7 +45,7 @@
         if !n.alive {
             return refused(self, "no-router", End::Failed);
         }
-        let Some((routes_at, routes)) = table.fresh_routes(now) else {
+        let Some((routes_version, routes)) = table.fresh_routes(now) else {
             return refused(self, "not-fresh", End::Refused);
         };
         let Some(row) = routes.find("", path) else { return refused(self, "unknown-route", End::Refused) };
@@ -70,7 +70,7 @@
             due: now + Span::ms(row.route.due_ms),
             end: now + Span::ms(row.route.due_ms),
             path: path.into(),
-            routes_at,
+            routes_version,
             kind: row.route.kind,
             gap: Span::ms(row.route.gap_ms),
             ..Order::default()
--- a/src/sim/hurts.rs
+++ b/src/sim/hurts.rs
@@ -4,7 +4,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::rand::Rand;
 use crate::kernel::time::Span;
-use crate::msg::Op;
+use crate::msg::OperatorCall;
 
 pub fn cut(w: &mut World, kind: Kind, core: &[usize]) {
     let long = span(w, 200, 7000);
@@ -28,7 +28,7 @@
 
 pub fn change(w: &mut World, race: bool) {
     let all: Vec<usize> = (0..w.nodes.len()).collect();
-    let base = w.nodes.iter().filter_map(|n| n.node.as_ref()).map(|n| n.views.state.config_at).max();
+    let base = w.nodes.iter().filter_map(|n| n.node.as_ref()).map(|n| n.views.state.config_version).max();
     let mut marks = Vec::new();
     for _ in 0..if race { 3 } else { 1 } {
         let n = one(w, &all);
@@ -38,7 +38,7 @@
             "{{\"services\":[{{\"name\":\"assistant\",\"routes\":[{old}{{\"prefix\":\"/x{mark}\",\"resumable\":true}}]}}]}}"
         );
         let base = if race { base } else { None };
-        let op = Op::Part { base, text };
+        let op = OperatorCall::PatchConfig { base, text };
         let id = w.ask(n, op.clone());
         send_again(w, id, &op, &all);
         marks.push(mark);
@@ -50,7 +50,7 @@
 }
 
 /// Sends a change again under its id, soon and late, as an operator does whose answers are lost.
-fn send_again(w: &mut World, id: ChangeId, op: &Op, all: &[usize]) {
+fn send_again(w: &mut World, id: ChangeId, op: &OperatorCall, all: &[usize]) {
     for _ in 0..w.rand.below(3) {
         let (n, wait, op) = (one(w, all), span(w, 200, 9000), op.clone());
         w.at(w.now + wait, move |w| w.ask_as(n, id, op));
@@ -89,12 +89,13 @@
     let (from, model) = rows[w.rand.below(rows.len() as u64) as usize].clone();
     let to = Name(format!("a{}", 1 + w.rand.below(w.plan.assistants as u64)));
     let n = one(w, &all);
-    let op = Op::Move { service: Name::from("assistant"), model, from, to, want: Name::default() };
+    let op =
+        OperatorCall::MoveModel { service: Name::from("assistant"), model, from, to, want: Name::default() };
     w.ask(n, op);
 }
 
 pub fn leave(w: &mut World, n: usize, name: Name) {
-    w.ask(n, Op::Leaving(name));
+    w.ask(n, OperatorCall::MarkLeaving(name));
 }
 
 pub fn replace(w: &mut World) {
--- a/src/sim/hurts_more.rs
+++ b/src/sim/hurts_more.rs
@@ -153,7 +153,7 @@
         self.note(Fact::Told { what: "warned", text: n.to_string() });
         let now = self.local(n);
         self.nodes[n].table.stop(now);
-        self.operate(n, msg::Event::Warned);
+        self.operate(n, msg::Event::StopAnnounced);
     }
 
     /// SIGTERM: the process ends once the node has left in order, or when `grace` is over.
--- a/src/sim/listing.rs
+++ b/src/sim/listing.rs
@@ -73,7 +73,7 @@
 
     pub fn list_answered(&mut self, place: usize, life: u64, listing: RunnerListing) {
         if self.fits(place, life) {
-            self.feed(place, msg::Event::Listed(listing));
+            self.feed(place, msg::Event::RunnersListed(listing));
         }
     }
 }
--- a/src/sim/nodes.rs
+++ b/src/sim/nodes.rs
@@ -9,10 +9,10 @@
 use crate::gate::Table;
 use crate::http::sender::Seen;
 use crate::kernel::disk::Disk;
-use crate::kernel::hold::{Hold, Job};
+use crate::kernel::hold::{SyncGate, WriteBatch};
 use crate::kernel::ids::*;
 use crate::kernel::node::Node;
-use crate::kernel::rand::{Rand, Seeded};
+use crate::kernel::rand::{Rand, SeededRandom};
 use crate::kernel::time::{Span, Time};
 use crate::msg::{self, Envelope, Role};
 use std::collections::VecDeque;
@@ -29,8 +29,8 @@
     pub disk: SimDisk,
     pub sync: Span,
     pub frozen_until: Time,
-    pub hold: Hold,
-    pub jobs: VecDeque<Job>,
+    pub hold: SyncGate,
+    pub jobs: VecDeque<WriteBatch>,
     pub writing: bool,
     pub held: VecDeque<Event>,
     pub offset: u64,
@@ -43,7 +43,7 @@
     /// Whether it keeps reading the list of runners.
     pub reads_list: bool,
     pub departure: Option<Departure>,
-    pub rehearsed: Option<(Version, msg::Rehearsal)>,
+    pub rehearsed: Option<(Version, msg::RehearsalResult)>,
     /// Whether inputs take time.
     pub processor: Option<Processor>,
 }
@@ -52,7 +52,7 @@
 pub const TELL: Span = Span::ms(250);
 
 impl SimNode {
-    pub fn new(place: Place, role: Role, rand: &mut Seeded) -> SimNode {
+    pub fn new(place: Place, role: Role, rand: &mut SeededRandom) -> SimNode {
         let table = Arc::new(Table::new(place.domain.clone(), place.proof));
         SimNode {
             place,
@@ -64,7 +64,7 @@
             disk: SimDisk::default(),
             sync: Span::ms(2),
             frozen_until: Time(0),
-            hold: Hold::default(),
+            hold: SyncGate::default(),
             jobs: VecDeque::new(),
             writing: false,
             held: VecDeque::new(),
@@ -102,12 +102,12 @@
             return;
         }
         let now = self.local(place);
-        let rand = Box::new(Seeded(self.rand.next()));
+        let rand = Box::new(SeededRandom(self.rand.next()));
         let n = &mut self.nodes[place];
         n.life += 1;
         n.alive = true;
         n.frozen_until = Time(0);
-        n.hold = Hold::default();
+        n.hold = SyncGate::default();
         n.jobs.clear();
         n.writing = false;
         n.held.clear();
@@ -199,7 +199,7 @@
 
     pub fn work(&mut self, place: usize, life: u64) {
         if self.fits(place, life) {
-            self.timed(place, |w| w.feed(place, msg::Event::Work));
+            self.timed(place, |w| w.feed(place, msg::Event::DutyTick));
         }
     }
 
@@ -207,9 +207,9 @@
         let now = self.local(place);
         let n = &mut self.nodes[place];
         let Some(node) = &mut n.node else { return };
-        node.room = n.disk.room();
-        node.slow = n.hold.slow(now);
-        node.stuck = n.hold.stuck(now);
+        node.free_disk_bytes = n.disk.room();
+        node.is_disk_slow = n.hold.is_slow(now);
+        node.is_write_stuck = n.hold.is_stuck(now);
         let from = node.journal.len();
         let out = node.feed(now, ev);
         let own = node.me.node;
@@ -225,9 +225,9 @@
         let now = self.local(place);
         let n = &mut self.nodes[place];
         let Some(node) = &mut n.node else { return };
-        node.room = n.disk.room();
-        node.slow = n.hold.slow(now);
-        node.stuck = n.hold.stuck(now);
+        node.free_disk_bytes = n.disk.room();
+        node.is_disk_slow = n.hold.is_slow(now);
+        node.is_write_stuck = n.hold.is_stuck(now);
         let (own, from) = (node.me.node, node.journal.len());
         let out = keep::letter(node, now, l);
         let agreed = node.journal.since(from).filter_map(|r| Fact::of_journal(own, &r.2));
--- a/src/sim/record.rs
+++ b/src/sim/record.rs
@@ -1,7 +1,7 @@
 use crate::chain::view::View;
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
-use crate::msg::{ChainMsg, JournalEvent, Msg, Op};
+use crate::msg::{ChainMsg, JournalEvent, Msg, OperatorCall};
 use crate::standin::tally::End;
 
 /// Something that happened in a simulated run, for the checks that judge it.
@@ -70,11 +70,11 @@
         runner: Name,
         place: Option<usize>,
     },
-    Learnt {
+    TopicChange {
         place: usize,
         scope: String,
         at: Version,
-        config_at: Version,
+        config_version: Version,
         print: u64,
     },
     Asking {
@@ -135,12 +135,16 @@
 }
 
 impl Asked {
-    pub fn of(op: &Op) -> Asked {
+    pub fn of(op: &OperatorCall) -> Asked {
         match op {
-            Op::Whole { base, text } => Asked::Config { base: *base, text: text.clone(), part: false },
-            Op::Part { base, text } => Asked::Config { base: *base, text: text.clone(), part: true },
-            Op::Leaving(name) => Asked::Leaving(name.clone()),
-            Op::Runners(_) => Asked::Runners,
+            OperatorCall::ReplaceConfig { base, text } => {
+                Asked::Config { base: *base, text: text.clone(), part: false }
+            }
+            OperatorCall::PatchConfig { base, text } => {
+                Asked::Config { base: *base, text: text.clone(), part: true }
+            }
+            OperatorCall::MarkLeaving(name) => Asked::Leaving(name.clone()),
+            OperatorCall::SetRunners(_) => Asked::Runners,
             _ => Asked::Other,
         }
     }
--- a/src/sim/runner_orders.rs
+++ b/src/sim/runner_orders.rs
@@ -97,7 +97,7 @@
 
     pub fn driven(&mut self, place: usize, life: u64, order: OrderId, status: u16) {
         if self.fits(place, life) {
-            self.feed(place, msg::Event::Ordered { order, status });
+            self.feed(place, msg::Event::OrderAnswered { order, status });
         }
     }
 
--- a/src/sim/runners.rs
+++ b/src/sim/runners.rs
@@ -80,7 +80,7 @@
         place: usize,
         life: u64,
         runner: Name,
-        report: Option<Box<crate::fleet::runner::Report>>,
+        report: Option<Box<crate::fleet::runner::RunnerReport>>,
     ) {
         if !self.fits(place, life) {
             return;
@@ -89,7 +89,7 @@
             self.learnt_leaving(runner.clone(), place);
         }
         let report = report.map(|r| *r);
-        self.feed(place, msg::Event::Report { instance: runner, report });
+        self.feed(place, msg::Event::RunnerReport { instance: runner, report });
     }
 
     pub fn tell(&mut self, place: usize, life: u64) {
--- a/src/sim/setup.rs
+++ b/src/sim/setup.rs
@@ -4,13 +4,13 @@
 use super::runners::SimRunner;
 use super::world::World;
 use crate::daemon::assemble::Place;
-use crate::distribution::reader::{FRESH, SERVING_LEASE};
+use crate::distribution::reader::{FRESHNESS_LIMIT, SERVING_LEASE};
 use crate::fleet::read::read_text;
 use crate::fleet::runner::Runner;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::launch::deployment::Deployment;
-use crate::msg::{self, Op, Role};
+use crate::msg::{self, OperatorCall, Role};
 use crate::standin::stock::Stock;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
                 core: plan.core,
                 bear: 1,
                 first: true,
-                proof: FRESH,
+                proof: FRESHNESS_LIMIT,
                 lease: SERVING_LEASE,
                 policy: plan.policy,
                 list: None,
@@ -94,16 +94,16 @@
         }
     }
 
-    pub fn ask(&mut self, place: usize, op: Op) -> ChangeId {
+    pub fn ask(&mut self, place: usize, op: OperatorCall) -> ChangeId {
         let id = ChangeId::named(self.fresh_id().name, op.document());
         self.ask_as(place, id, op);
         id
     }
 
     /// Sends an operator's change under a given id, for the first time or again.
-    pub fn ask_as(&mut self, place: usize, id: ChangeId, op: Op) {
+    pub fn ask_as(&mut self, place: usize, id: ChangeId, op: OperatorCall) {
         self.note(Fact::Asked { id, what: Asked::of(&op) });
-        self.operate(place, msg::Event::Op { id, op });
+        self.operate(place, msg::Event::OperatorCall { id, op });
     }
 
     pub fn answer(&mut self, id: ChangeId, most: Span) -> Option<u16> {
@@ -112,12 +112,12 @@
     }
 
     pub fn config_op(&mut self, place: usize, text: String) -> ChangeId {
-        self.ask(place, Op::Whole { base: None, text })
+        self.ask(place, OperatorCall::ReplaceConfig { base: None, text })
     }
 
     pub fn list_op(&mut self, place: usize) -> ChangeId {
         let list = self.runners.iter().map(|r| r.card.clone()).collect();
-        self.ask(place, Op::Runners(list))
+        self.ask(place, OperatorCall::SetRunners(list))
     }
 
     pub fn boot(plan: Deployment, seed: u64) -> World {
--- a/src/sim/steps.rs
+++ b/src/sim/steps.rs
@@ -1,6 +1,6 @@
 use super::check;
 use super::world::World;
-use crate::distribution::history::Body;
+use crate::distribution::history::UpdateBody;
 use crate::kernel::time::{Span, Time};
 use crate::msg::{ChainMsg, Effect, Msg};
 use std::sync::Mutex;
@@ -33,8 +33,8 @@
             Effect::Save(_) => Some("save"),
             Effect::Rewrite(_) => Some("rewrite"),
             Effect::Answer { .. } => Some("answer"),
-            Effect::Drive(_) => Some("drive"),
-            Effect::Learn { slice: Some(_), .. } => Some("learn"),
+            Effect::OrderRunner(_) => Some("drive"),
+            Effect::TopicUpdate { slice: Some(_), .. } => Some("learn"),
             _ => None,
         };
     };
@@ -52,10 +52,10 @@
             ChainMsg::Pledge { .. } => Some("pledge"),
             _ => None,
         },
-        Msg::Op { .. } => Some("op"),
-        Msg::OpEnd { .. } => Some("op-end"),
+        Msg::OperatorCall { .. } => Some("op"),
+        Msg::CallAnswer { .. } => Some("op-end"),
         Msg::UpdateReply { items, .. } | Msg::UpdatePush { items }
-            if items.iter().any(|i| i.body != Body::Same) =>
+            if items.iter().any(|i| i.body != UpdateBody::Same) =>
         {
             Some("distribution")
         }
--- a/src/sim/sync.rs
+++ b/src/sim/sync.rs
@@ -1,5 +1,5 @@
 use super::world::{Event, World};
-use crate::kernel::hold::{Save, write};
+use crate::kernel::hold::{DiskWrite, write_batch};
 use crate::kernel::time::Span;
 use crate::msg::Effect;
 
@@ -17,7 +17,7 @@
         let now = self.local(place);
         let n = &mut self.nodes[place];
         let life = n.life;
-        let (out, job) = n.hold.take(now, out);
+        let (out, job) = n.hold.submit(now, out);
         if let Some(job) = job {
             n.jobs.push_back(job);
             self.write(place);
@@ -32,9 +32,9 @@
             return;
         }
         n.writing = true;
-        let (life, upto) = (n.life, last.no);
-        let rows: Vec<Save> = n.jobs.iter().flat_map(|j| j.rows.clone()).collect();
-        if write(&mut n.disk, &rows).is_err() {
+        let (life, upto) = (n.life, last.number);
+        let rows: Vec<DiskWrite> = n.jobs.iter().flat_map(|j| j.writes.clone()).collect();
+        if write_batch(&mut n.disk, &rows).is_err() {
             return self.later(AGAIN, Event::Synced { place, life, upto: 0 });
         }
         n.jobs.clear();
@@ -52,7 +52,7 @@
         if upto > 0 {
             n.disk.synced();
         }
-        let out = n.hold.synced(now, upto);
+        let out = n.hold.release_synced(now, upto);
         self.write(place);
         self.effects(place, life, out);
     }
--- a/src/sim/world.rs
+++ b/src/sim/world.rs
@@ -3,11 +3,11 @@
 use super::nodes::SimNode;
 use super::record::{Fact, Record};
 use super::runners::SimRunner;
-use crate::fleet::holdings::Want;
+use crate::fleet::holdings::UnmetDemand;
 use crate::forwarding::In;
 use crate::gate::{Gate, Plan};
 use crate::kernel::ids::*;
-use crate::kernel::rand::{Rand, Seeded};
+use crate::kernel::rand::{Rand, SeededRandom};
 use crate::kernel::time::{Span, Time};
 use crate::launch::deployment::Deployment;
 use crate::msg::{Answer, Envelope};
@@ -26,31 +26,89 @@
     pub plan: Plan,
 }
 
-pub type Sought = (usize, u64, Want);
+pub type Sought = (usize, u64, UnmetDemand);
 pub type Deed = Box<dyn FnOnce(&mut World)>;
 
 pub enum Event {
-    Tick { place: usize, life: u64 },
-    Work { place: usize, life: u64 },
-    Envelope { to: SocketAddr, letter: Box<Envelope> },
-    Looked { place: usize, life: u64, runner: Name },
-    Synced { place: usize, life: u64, upto: u64 },
-    Reported { place: usize, life: u64, runner: Name, report: Option<Box<crate::fleet::runner::Report>> },
-    Tell { place: usize, life: u64 },
-    Driven { place: usize, life: u64, order: OrderId, status: u16 },
-    RequestFlow { place: usize, life: u64, request: u64, ev: Box<In> },
-    Send { place: usize, life: u64, request: u64, attempt: u64, last: Option<String> },
-    Run { runner: usize, life: u64, run: u64 },
-    Loaded { runner: usize, life: u64, name: Name },
-    Flow { flow: usize },
-    ListPoll { place: usize, life: u64 },
-    ListAnswer { place: usize, life: u64, listing: Box<RunnerListing> },
+    Tick {
+        place: usize,
+        life: u64,
+    },
+    Work {
+        place: usize,
+        life: u64,
+    },
+    Envelope {
+        to: SocketAddr,
+        letter: Box<Envelope>,
+    },
+    Looked {
+        place: usize,
+        life: u64,
+        runner: Name,
+    },
+    Synced {
+        place: usize,
+        life: u64,
+        upto: u64,
+    },
+    Reported {
+        place: usize,
+        life: u64,
+        runner: Name,
+        report: Option<Box<crate::fleet::runner::RunnerReport>>,
+    },
+    Tell {
+        place: usize,
+        life: u64,
+    },
+    Driven {
+        place: usize,
+        life: u64,
+        order: OrderId,
+        status: u16,
+    },
+    RequestFlow {
+        place: usize,
+        life: u64,
+        request: u64,
+        ev: Box<In>,
+    },
+    Send {
+        place: usize,
+        life: u64,
+        request: u64,
+        attempt: u64,
+        last: Option<String>,
+    },
+    Run {
+        runner: usize,
+        life: u64,
+        run: u64,
+    },
+    Loaded {
+        runner: usize,
+        life: u64,
+        name: Name,
+    },
+    Flow {
+        flow: usize,
+    },
+    ListPoll {
+        place: usize,
+        life: u64,
+    },
+    ListAnswer {
+        place: usize,
+        life: u64,
+        listing: Box<RunnerListing>,
+    },
     Do(Deed),
 }
 
 pub struct World {
     pub now: Time,
-    pub rand: Seeded,
+    pub rand: SeededRandom,
     queue: BTreeMap<(Time, u64), Event>,
     next: u64,
     pub plan: Deployment,
@@ -85,7 +143,7 @@
     pub fn new(plan: Deployment, seed: u64) -> World {
         World {
             now: Time(0),
-            rand: Seeded(seed),
+            rand: SeededRandom(seed),
             queue: BTreeMap::new(),
             next: 0,
             plan,
@@ -163,7 +221,7 @@
         loop {
             let Some((place, life, want)) = self.sought.lock().unwrap().pop_front() else { break };
             if self.fits(place, life) {
-                self.feed(place, crate::msg::Event::Wanted(want));
+                self.feed(place, crate::msg::Event::NameWanted(want));
             }
         }
         loop {
--- a/src/standin/stock.rs
+++ b/src/standin/stock.rs
@@ -1,5 +1,5 @@
 use crate::fleet::FleetConfig;
-use crate::fleet::runner::Report;
+use crate::fleet::runner::RunnerReport;
 use crate::kernel::ids::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -68,9 +68,9 @@
         self.runs.values().sum()
     }
 
-    pub fn report(&self) -> Report {
+    pub fn report(&self) -> RunnerReport {
         if self.terse {
-            return Report {
+            return RunnerReport {
                 instance: self.instance.clone(),
                 leaving: self.leaving,
                 holds: self.holds.iter().cloned().collect(),
@@ -78,10 +78,10 @@
                 waiting: self.waiting,
                 orders: self.orders,
                 busy: self.under_way.is_some(),
-                ..Report::default()
+                ..RunnerReport::default()
             };
         }
-        Report {
+        RunnerReport {
             instance: self.instance.clone(),
             leaving: self.leaving,
             room_mb: self.room_mb,
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -2,7 +2,7 @@
 //! columns of each kind for every message, most of which are empty.
 #![deny(missing_docs)]
 
-use crate::distribution::history::Body;
+use crate::distribution::history::UpdateBody;
 use crate::fleet::state::Scope;
 use crate::kernel::ids::Version;
 use crate::kernel::time::Span;
@@ -44,9 +44,9 @@
         Msg::Ping(g) => part(PING, &**g, coder, body),
         Msg::Pong(g) => part(PONG, &**g, coder, body),
         Msg::Gossip(g) => part(GOSSIP, &**g, coder, body),
-        Msg::Tell(tell) => part(TELL, &**tell, coder, body),
-        Msg::Want(rows) => part(WANT, rows, coder, body),
-        Msg::Held(held) => part(HELD, &**held, coder, body),
+        Msg::RouterReport(tell) => part(TELL, &**tell, coder, body),
+        Msg::UnmetDemand(rows) => part(WANT, rows, coder, body),
+        Msg::Holdings(held) => part(HELD, &**held, coder, body),
         Msg::Constraint(msg) => part(CONSTRAINT, msg, coder, body),
         Msg::UpdateRequest { nonce, direct, have } => {
             part(UPDATE_REQUEST, &(*nonce, *direct, have.clone()), coder, body)
@@ -71,9 +71,9 @@
             part(LEASE_APPLICATIONS, &(*view, rows.clone()), coder, body)
         }
         Msg::Chain(ChainMsg::Released { view, upto }) => part(RELEASED, &(*view, *upto), coder, body),
-        Msg::HeldAsk => body.push(HELD_ASK),
-        Msg::Sync => body.push(SYNC),
-        Msg::Nudge => body.push(NUDGE),
+        Msg::HoldingsRequest => body.push(HELD_ASK),
+        Msg::GossipRequest => body.push(SYNC),
+        Msg::RequestUpdates => body.push(NUDGE),
         Msg::Chain(msg) => part(CHAIN, msg, coder, body),
         other => part(OTHER, other, coder, body),
     }
@@ -85,7 +85,7 @@
 }
 
 fn put_reply(nonce: u64, items: &Vec<TopicUpdate>, coder: &mut Buffer, body: &mut Vec<u8>) {
-    let same = items.iter().all(|item| matches!(item.body, Body::Same));
+    let same = items.iter().all(|item| matches!(item.body, UpdateBody::Same));
     body.push(if same { UPDATE_SAME } else { UPDATE_REPLY });
     body.extend(nonce.to_le_bytes());
     if same {
@@ -99,7 +99,7 @@
 
 fn take_same(raw: &[u8], coder: &mut Buffer) -> Option<Vec<TopicUpdate>> {
     let rows: Vec<(Scope, Version, Span)> = coder.decode(raw).ok()?;
-    let item = |(scope, at, age)| TopicUpdate { scope, at, age, body: Body::Same };
+    let item = |(scope, at, age)| TopicUpdate { scope, at, age, body: UpdateBody::Same };
     Some(rows.into_iter().map(item).collect())
 }
 
@@ -110,9 +110,9 @@
         PING => Msg::Ping(Box::new(coder.decode(raw).ok()?)),
         PONG => Msg::Pong(Box::new(coder.decode(raw).ok()?)),
         GOSSIP => Msg::Gossip(Box::new(coder.decode(raw).ok()?)),
-        TELL => Msg::Tell(Arc::new(coder.decode(raw).ok()?)),
-        WANT => Msg::Want(coder.decode(raw).ok()?),
-        HELD => Msg::Held(std::sync::Arc::new(coder.decode(raw).ok()?)),
+        TELL => Msg::RouterReport(Arc::new(coder.decode(raw).ok()?)),
+        WANT => Msg::UnmetDemand(coder.decode(raw).ok()?),
+        HELD => Msg::Holdings(std::sync::Arc::new(coder.decode(raw).ok()?)),
         CONSTRAINT => Msg::Constraint(coder.decode(raw).ok()?),
         UPDATE_REQUEST => {
             let (nonce, direct, have) = coder.decode(raw).ok()?;
@@ -153,9 +153,9 @@
             let (view, upto) = coder.decode(raw).ok()?;
             Msg::Chain(ChainMsg::Released { view, upto })
         }
-        HELD_ASK if raw.is_empty() => Msg::HeldAsk,
-        SYNC if raw.is_empty() => Msg::Sync,
-        NUDGE if raw.is_empty() => Msg::Nudge,
+        HELD_ASK if raw.is_empty() => Msg::HoldingsRequest,
+        SYNC if raw.is_empty() => Msg::GossipRequest,
+        NUDGE if raw.is_empty() => Msg::RequestUpdates,
         CHAIN => Msg::Chain(coder.decode(raw).ok()?),
         OTHER => coder.decode(raw).ok()?,
         _ => return None,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -9,20 +9,20 @@
 
 mod message;
 
-pub const NET_MAX: usize = 32 << 20;
-pub const DISK_MAX: usize = 64 << 20;
-pub const HEAD: usize = 12;
-const EDITION: u8 = 4;
+pub const MAX_NETWORK_BODY: usize = 32 << 20;
+pub const MAX_DISK_BODY: usize = 64 << 20;
+pub const HEADER_LEN: usize = 12;
+const PROTOCOL_VERSION: u8 = 4;
 /// A coder that took more than this is not kept for the next envelope.
-const CODER_MAX: usize = 64 << 10;
+const MAX_KEPT_CODER: usize = 64 << 10;
 
 thread_local! {
     /// The state of a coder for all kinds of messages takes longer to build than most envelopes to encode.
     static CODER: RefCell<bitcode::Buffer> = RefCell::default();
 }
 
-pub fn seal(body: &[u8]) -> Vec<u8> {
-    let mut raw = Vec::with_capacity(HEAD + body.len());
+pub fn encode_frame(body: &[u8]) -> Vec<u8> {
+    let mut raw = Vec::with_capacity(HEADER_LEN + body.len());
     let len = (body.len() as u32).to_le_bytes();
     raw.extend(len);
     raw.extend((crc32fast::hash(&len) ^ 0x5d1d_10c4).to_le_bytes());
@@ -31,7 +31,7 @@
     raw
 }
 
-pub fn size(head: &[u8; HEAD], most: usize) -> Result<usize, Fault> {
+pub fn body_len(head: &[u8; HEADER_LEN], most: usize) -> Result<usize, Fault> {
     let word = |n: usize| u32::from_le_bytes(head[n..n + 4].try_into().expect("four bytes"));
     let len = word(0) as usize;
     if crc32fast::hash(&head[..4]) ^ 0x5d1d_10c4 != word(4) {
@@ -54,7 +54,7 @@
     Ok(len)
 }
 
-pub fn body<'a>(head: &[u8; HEAD], body: &'a [u8]) -> Result<&'a [u8], Fault> {
+pub fn checked_body<'a>(head: &[u8; HEADER_LEN], body: &'a [u8]) -> Result<&'a [u8], Fault> {
     let sum = u32::from_le_bytes(head[8..12].try_into().expect("four bytes"));
     if crc32fast::hash(body) != sum {
         return Err(Fault::new(
@@ -67,38 +67,38 @@
     Ok(body)
 }
 
-pub fn open(raw: &[u8], most: usize) -> Result<(&[u8], usize), Fault> {
+pub fn decode_frame(raw: &[u8], most: usize) -> Result<(&[u8], usize), Fault> {
     let short = || Fault::new(Kind::Wire, "frame", "it ends early", "none needed");
-    let head: &[u8; HEAD] = raw.get(..HEAD).and_then(|h| h.try_into().ok()).ok_or_else(short)?;
-    let len = size(head, most)?;
-    let part = raw.get(HEAD..HEAD + len).ok_or_else(short)?;
-    Ok((body(head, part)?, HEAD + len))
+    let head: &[u8; HEADER_LEN] = raw.get(..HEADER_LEN).and_then(|h| h.try_into().ok()).ok_or_else(short)?;
+    let len = body_len(head, most)?;
+    let part = raw.get(HEADER_LEN..HEADER_LEN + len).ok_or_else(short)?;
+    Ok((checked_body(head, part)?, HEADER_LEN + len))
 }
 
 /// The frame of an envelope: its edition, who sends it to whom, and its message.
-pub fn pack(letter: &Envelope) -> Vec<u8> {
+pub fn encode_envelope(envelope: &Envelope) -> Vec<u8> {
     CODER.with_borrow_mut(|coder| {
-        let mut body = vec![EDITION];
-        let ends = Ends { from: letter.from, to: letter.to, fleet: letter.fleet, addr: letter.addr };
+        let mut body = vec![PROTOCOL_VERSION];
+        let ends = Ends { from: envelope.from, to: envelope.to, fleet: envelope.fleet, addr: envelope.addr };
         append(&mut body, coder.encode(&ends));
-        message::put(&letter.msg, coder, &mut body);
-        if body.len() > CODER_MAX {
+        message::put(&envelope.msg, coder, &mut body);
+        if body.len() > MAX_KEPT_CODER {
             *coder = bitcode::Buffer::default();
         }
-        seal(&body)
+        encode_frame(&body)
     })
 }
 
 /// The envelope in the body of a frame.
-pub fn unpack(body: &[u8]) -> Result<Envelope, Fault> {
+pub fn decode_envelope(body: &[u8]) -> Result<Envelope, Fault> {
     let bad = |what: &str| Fault::new(Kind::Wire, "letter", what, "run one release on all nodes");
     let Some((edition, rest)) = body.split_first() else { return Err(bad("it is empty")) };
-    if *edition != EDITION {
+    if *edition != PROTOCOL_VERSION {
         return Err(bad("its edition is not ours"));
     }
     let (ends, rest) = split(rest).ok_or_else(|| bad("it ends early"))?;
     let decoded = match rest.len() {
-        0..=CODER_MAX => CODER.with_borrow_mut(|coder| read(ends, rest, coder)),
+        0..=MAX_KEPT_CODER => CODER.with_borrow_mut(|coder| read(ends, rest, coder)),
         _ => read(ends, rest, &mut bitcode::Buffer::default()),
     };
     decoded.ok_or_else(|| bad("it does not decode"))
--- a/tests/chain.rs
+++ b/tests/chain.rs
@@ -6,14 +6,14 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::{quebec, vanua};
-use spindledock::msg::{Op, Role};
+use spindledock::msg::{OperatorCall, Role};
 use spindledock::sim::World;
 use spindledock::sim::nodes::SimNode;
 use std::net::SocketAddr;
 
 fn patch(w: &mut World, place: usize, name: &str) -> ChangeId {
     let text = format!("{{\"models\":[{{\"name\":\"{name}\",\"weight_mb\":9}}]}}");
-    w.ask(place, Op::Part { base: None, text })
+    w.ask(place, OperatorCall::PatchConfig { base: None, text })
 }
 
 fn taken(w: &mut World, place: usize, name: &str) {
@@ -189,7 +189,7 @@
     w.kill_node(2);
     for n in 0..700u64 {
         let name = Name(format!("a{}", n % 9 + 1));
-        w.ask(0, Op::Leaving(name));
+        w.ask(0, OperatorCall::MarkLeaving(name));
         w.run_for(Span::ms(12));
     }
     taken(&mut w, 0, "late");
--- a/tests/common/adopt.rs
+++ b/tests/common/adopt.rs
@@ -8,7 +8,7 @@
 use spindledock::kernel::rand::Rand;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::Deployment;
-use spindledock::msg::{Answer, Event, Op};
+use spindledock::msg::{Answer, Event, OperatorCall};
 use spindledock::protocol::{OperatorProtocol, OperatorRequest};
 use spindledock::sim::World;
 use spindledock::sim::record::Fact;
@@ -125,8 +125,8 @@
         self.sent.entry(id).or_insert(row);
         self.w.answers.remove(&id);
         let base = (base != NO_BASE).then_some(base);
-        let op = Op::Foreign { base, part, text: text.to_string() };
-        self.w.operate(place, Event::Op { id, op });
+        let op = OperatorCall::PlatformConfig { base, part, text: text.to_string() };
+        self.w.operate(place, Event::OperatorCall { id, op });
         id
     }
 
@@ -178,7 +178,7 @@
     fn taken(&self) -> (Vec<(u64, u64, FleetConfig)>, Vec<String>) {
         let mut rows: Vec<&Sent> = self.sent.values().filter(|s| !s.refused()).collect();
         rows.sort_by_key(|s| (s.base, s.text.clone()));
-        let mut out = vec![(0, RoutesSlice::default().print(), FleetConfig::default())];
+        let mut out = vec![(0, RoutesSlice::default().fingerprint(), FleetConfig::default())];
         let mut bad = Vec::new();
         let mut at = 0;
         loop {
@@ -191,7 +191,7 @@
             let old = &out.last().expect("a first").2;
             let new = Lines.read(old, &s.text, s.part).expect("it was taken, so it reads");
             at = new.revision;
-            out.push((at, RoutesSlice::of(&new).print(), new));
+            out.push((at, RoutesSlice::of(&new).fingerprint(), new));
         }
     }
 
@@ -208,7 +208,7 @@
         for (t, f) in &self.w.record.rows {
             match f {
                 Fact::Up { place } => drop(seen.remove(place)),
-                Fact::Learnt { place, scope, print, .. } if scope == "routes" => {
+                Fact::TopicChange { place, scope, print, .. } if scope == "routes" => {
                     let Some(step) = taken.iter().position(|r| r.1 == *print) else {
                         bad.push(format!("node {place} learnt at {t:?} what was never taken"));
                         continue;
--- a/tests/common/duty.rs
+++ b/tests/common/duty.rs
@@ -2,17 +2,17 @@
 //! One component of a node in a fleet of the large laboratory's size, driven event by event.
 
 use spindledock::chain::view::View;
-use spindledock::distribution::history::Body;
-use spindledock::fleet::holdings::HeldTell;
+use spindledock::distribution::history::UpdateBody;
+use spindledock::fleet::holdings::HoldingsUpdate;
 use spindledock::fleet::read::read_text;
-use spindledock::fleet::runner::Report;
+use spindledock::fleet::runner::RunnerReport;
 use spindledock::fleet::slice::{DutySlice, Slice};
 use spindledock::fleet::state::{Duty, Scope};
 use spindledock::hollow::Size;
-use spindledock::kernel::component::{Component, Context, Me, Views};
+use spindledock::kernel::component::{Component, Context, LocalNode, Views};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::journal::Journal;
-use spindledock::kernel::rand::Seeded;
+use spindledock::kernel::rand::SeededRandom;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::membership::messages::{Member, Row};
 use spindledock::msg::*;
@@ -53,9 +53,9 @@
     pub component: C,
     pub now: Time,
     pub views: Views,
-    me: Me,
+    me: LocalNode,
     journal: Journal,
-    rand: Seeded,
+    rand: SeededRandom,
 }
 
 impl<C: Component> Bench<C> {
@@ -66,22 +66,22 @@
         let chain: Vec<NodeId> = (1..=CONTROLLERS).map(NodeId).collect();
         let view = View { no: ViewNo(1), voters: chain[..5].to_vec(), chain };
         let views = Views { members: Arc::new(rows), view: Some(view), ..Views::default() };
-        let me = Me {
+        let me = LocalNode {
             node: me,
             role,
             domain: zone(me.0),
             addr: address(me.0),
             admin: address(me.0),
             seeds: vec![],
-            seed: false,
-            core: CONTROLLERS as usize,
-            bear: 2,
-            first: true,
-            proof: Span::ms(2000),
-            lease: Span::ms(5000),
+            is_seed: false,
+            core_size: CONTROLLERS as usize,
+            tolerated_failures: 2,
+            may_found: true,
+            freshness_limit: Span::ms(2000),
+            serving_lease: Span::ms(5000),
             started: BEGIN,
         };
-        Bench { component, now: BEGIN, views, me, journal: Journal::default(), rand: Seeded(7) }
+        Bench { component, now: BEGIN, views, me, journal: Journal::default(), rand: SeededRandom(7) }
     }
 
     fn play(&mut self, event: Event) -> (Vec<Effect>, VecDeque<JournalEvent>) {
@@ -89,14 +89,14 @@
         let mut ctx = Context {
             now: self.now,
             me: &self.me,
-            room: u64::MAX,
-            slow: false,
-            stuck: false,
+            free_disk_bytes: u64::MAX,
+            is_disk_slow: false,
+            is_write_stuck: false,
             rand: &mut self.rand,
             views: &mut self.views,
             journal: &mut self.journal,
             events: &mut events,
-            out: &mut out,
+            effects: &mut out,
         };
         self.component.on(&event, &mut ctx);
         (out, events)
@@ -112,7 +112,7 @@
     }
 
     pub fn mail(&mut self, from: NodeId, msg: Msg) -> Vec<Effect> {
-        self.feed(Event::Mail { from, fleet: FLEET, msg })
+        self.feed(Event::Message { from, fleet: FLEET, msg })
     }
 
     pub fn figure(&self, key: &str) -> u64 {
@@ -129,16 +129,16 @@
     })
 }
 
-pub fn held(out: &[Effect]) -> impl Iterator<Item = (NodeId, &HeldTell)> {
+pub fn held(out: &[Effect]) -> impl Iterator<Item = (NodeId, &HoldingsUpdate)> {
     sent(out).filter_map(|(to, msg)| match msg {
-        Msg::Held(tell) => Some((to, &**tell)),
+        Msg::Holdings(tell) => Some((to, &**tell)),
         _ => None,
     })
 }
 
 pub fn looked_at(out: &[Effect]) -> Vec<Name> {
     let looks = out.iter().filter_map(|effect| match effect {
-        Effect::Look(name) => Some(name.clone()),
+        Effect::PollRunner(name) => Some(name.clone()),
         _ => None,
     });
     looks.collect()
@@ -149,7 +149,7 @@
     let config = read_text(&size.config()).expect("a configuration");
     DutySlice {
         config,
-        config_at: Version(1),
+        config_version: Version(1),
         plans: vec![],
         plan_ask: None,
         duty: Some(Duty { holder: HOLDER, term: Term(1), begun: true }),
@@ -159,9 +159,9 @@
 }
 
 /// A runner that is full of models that all run.
-pub fn full_report(size: &Size, n: usize) -> Report {
+pub fn full_report(size: &Size, n: usize) -> RunnerReport {
     let holds: Vec<Name> = (0..3).map(|k| size.held(((n * 3 + k) % 400) as u64)).collect();
-    Report {
+    RunnerReport {
         instance: size.runner(n).instance,
         room_mb: 230_000,
         used_mb: 195_000,
@@ -170,7 +170,7 @@
         running: 27,
         slots: 64,
         holds,
-        ..Report::default()
+        ..RunnerReport::default()
     }
 }
 
@@ -179,13 +179,13 @@
     pub fn tick(&mut self, slice: &Arc<Slice>) -> Vec<Effect> {
         self.now = self.now + TICK;
         let mut out = self.feed(Event::Tick);
-        out.extend(self.feed(Event::Work));
+        out.extend(self.feed(Event::DutyTick));
         let asked = sent(&out).find_map(|(_, msg)| match msg {
             Msg::UpdateRequest { nonce, have, .. } => Some((*nonce, have[0].1)),
             _ => None,
         });
         if let Some((nonce, have)) = asked {
-            let body = if have == Version(1) { Body::Same } else { Body::Whole(slice.clone()) };
+            let body = if have == Version(1) { UpdateBody::Same } else { UpdateBody::Whole(slice.clone()) };
             let item = TopicUpdate { scope: Scope::Duty, at: Version(1), age: Span(0), body };
             out.extend(self.mail(NodeId(CONTROLLERS), Msg::UpdateReply { nonce, items: vec![item] }));
         }
--- a/tests/common/forwarding.rs
+++ b/tests/common/forwarding.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use spindledock::fleet::config::Class;
 use spindledock::fleet::read::read_text;
-use spindledock::fleet::runner::{Report, Runner};
+use spindledock::fleet::runner::{Runner, RunnerReport};
 use spindledock::fleet::slice::service_slice;
 use spindledock::fleet::state::{MovePlan, Phase};
 use spindledock::forwarding::{In, Out, RequestFlow};
@@ -43,12 +43,12 @@
 }
 
 pub fn report(g: &mut Gate, now: Time, name: &str, running: u64) {
-    let rep = Report {
+    let rep = RunnerReport {
         instance: Name::from(name),
         holds: vec![Name::from("m00")],
         slots: 8,
         running,
-        ..Report::default()
+        ..RunnerReport::default()
     };
     g.report(now, &Name::from(name), rep);
     g.proven = now;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use spindledock::kernel::rand::Rand;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::{Deployment, vanua};
-use spindledock::msg::{Op, Role};
+use spindledock::msg::{OperatorCall, Role};
 use spindledock::sim::nodes::SimNode;
 use spindledock::sim::{World, check};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 pub fn patch(w: &mut World, place: usize, name: &str) -> ChangeId {
     let text = format!("{{\"models\":[{{\"name\":\"{name}\",\"weight_mb\":9}}]}}");
-    w.ask(place, Op::Part { base: None, text })
+    w.ask(place, OperatorCall::PatchConfig { base: None, text })
 }
 
 pub fn taken(w: &mut World, place: usize, name: &str, due: Span) -> Span {
--- a/tests/cut_off.rs
+++ b/tests/cut_off.rs
@@ -9,7 +9,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::launch::deployment::{Deployment, vanua};
-use spindledock::msg::{Event, Op};
+use spindledock::msg::{Event, OperatorCall};
 use spindledock::sim::World;
 use spindledock::sim::record::Fact;
 
@@ -92,17 +92,21 @@
     fn read(&mut self) {
         let id = self.office.w.fresh_id();
         self.questions.push(Question { id, at: self.office.w.now, newest: self.newest, base: None });
-        self.office.w.operate(self.lost, Event::Ask { id, path: "source".into() });
+        self.office.w.operate(self.lost, Event::OperatorRead { id, path: "source".into() });
     }
 
     /// A change on the newest revision, sent to the lost member. It leaves everything as it is.
     fn write(&mut self) {
         let base = self.newest;
         self.sent += 1;
-        let op = Op::Foreign { base: Some(base), part: true, text: format!("nothing {}", self.sent) };
+        let op = OperatorCall::PlatformConfig {
+            base: Some(base),
+            part: true,
+            text: format!("nothing {}", self.sent),
+        };
         let id = ChangeId::named(self.office.w.fresh_id().name, op.document());
         self.questions.push(Question { id, at: self.office.w.now, newest: base, base: Some(base) });
-        self.office.w.operate(self.lost, Event::Op { id, op });
+        self.office.w.operate(self.lost, Event::OperatorCall { id, op });
     }
 
     fn ask_for(&mut self, span: Span) {
--- a/tests/dark_core.rs
+++ b/tests/dark_core.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ident, seeded, sound, view};
-use spindledock::distribution::reader::{FRESH, SERVING_LEASE};
+use spindledock::distribution::reader::{FRESHNESS_LIMIT, SERVING_LEASE};
 use spindledock::kernel::time::{Span, Time};
 use spindledock::launch::deployment::vanua;
 use spindledock::sim::World;
@@ -54,7 +54,7 @@
 #[test]
 fn given_a_core_that_is_dark_for_five_seconds_when_routers_hold_leases_then_they_refuse_for_less() {
     seeded(1..4, |seed| {
-        let (before, after) = (refused_span(seed, FRESH), refused_span(seed, SERVING_LEASE));
+        let (before, after) = (refused_span(seed, FRESHNESS_LIMIT), refused_span(seed, SERVING_LEASE));
         println!("dark 5 s: refused for {} ({}), with leases {} ({})", before.0, before.1, after.0, after.1);
         assert!(before.0 > Span::ms(2500), "without leases it is felt: {}", before.0);
         assert!(after.0 + Span::ms(1500) < before.0, "{} and {}", before.0, after.0);
@@ -103,7 +103,7 @@
             .find(|r| matches!(r.1, Fact::Answered { id: i, status: 200, .. } if i == id));
         let took = end.expect("it is acknowledged").0.since(asked.0);
         println!("acknowledged after {took}");
-        assert!(took + FRESH <= most, "an acknowledgement waits for what a lease may run: {took}");
+        assert!(took + FRESHNESS_LIMIT <= most, "an acknowledgement waits for what a lease may run: {took}");
     });
 }
 
@@ -147,7 +147,7 @@
                 .collect();
             all.iter().sum::<u64>() / all.len() as u64
         };
-        let (without, with) = (took(FRESH), took(SERVING_LEASE));
+        let (without, with) = (took(FRESHNESS_LIMIT), took(SERVING_LEASE));
         println!("a change takes {without} ms without leases, {with} ms with them");
         assert!(with <= without + 100, "{without} {with}");
     });
--- a/tests/delta.rs
+++ b/tests/delta.rs
@@ -1,12 +1,12 @@
 use spindledock::distribution::Reader;
-use spindledock::distribution::history::{Body, ChangeHistory, Step};
+use spindledock::distribution::history::{ChangeHistory, DeltaStep, UpdateBody};
 use spindledock::distribution::reader::Topic;
 use spindledock::fleet::config::{Class, Route, RouteKind};
 use spindledock::fleet::slice::{RouteRow, RoutesSlice, Slice};
 use spindledock::fleet::state::Scope;
 use spindledock::fleet::tenants::{KeyDigest, Tenant};
 use spindledock::kernel::ids::*;
-use spindledock::kernel::rand::{Rand, Seeded};
+use spindledock::kernel::rand::{Rand, SeededRandom};
 use spindledock::kernel::time::{Span, Time};
 use spindledock::msg::TopicUpdate;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
     Arc::new(slice_of(rows.map(|n| row(n, 1000)).collect()))
 }
 
-fn item(at: u64, age: Span, body: Body) -> TopicUpdate {
+fn item(at: u64, age: Span, body: UpdateBody) -> TopicUpdate {
     TopicUpdate { scope: Scope::Routes, at: Version(at), age, body }
 }
 
@@ -54,7 +54,7 @@
 
 #[test]
 fn given_a_thousand_routes_when_twenty_change_then_the_change_is_small_and_gives_the_same_list() {
-    let mut rand = Seeded(7);
+    let mut rand = SeededRandom(7);
     let (mut home, mut reader) = (ChangeHistory::default(), ChangeHistory::default());
     let mut rows: Vec<RouteRow> = (0..1000).map(|n| row(n, 1000)).collect();
     home.raise(Version(1), Arc::new(slice_of(rows.clone())));
@@ -70,18 +70,18 @@
             }
         }
         home.raise(Version(at), Arc::new(slice_of(rows.clone())));
-        let Body::Steps(steps) = home.body(reader.at) else { panic!("steps are smaller") };
-        assert!(bitcode::encode(&Body::Steps(steps.clone())).len() * 5 < whole, "a fifth at most");
+        let UpdateBody::Steps(steps) = home.body(reader.at) else { panic!("steps are smaller") };
+        assert!(bitcode::encode(&UpdateBody::Steps(steps.clone())).len() * 5 < whole, "a fifth at most");
         assert!(reader.follow(&steps));
         assert_eq!(reader.slice, home.slice);
     }
-    assert!(matches!(home.body(Version(2)), Body::Whole(_)), "too far behind");
+    assert!(matches!(home.body(Version(2)), UpdateBody::Whole(_)), "too far behind");
 }
 
 #[test]
 fn given_a_thousand_tenants_when_keys_are_added_taken_away_and_passed_on_then_the_change_is_small_and_exact()
 {
-    let mut rand = Seeded(9);
+    let mut rand = SeededRandom(9);
     let (mut home, mut reader) = (ChangeHistory::default(), ChangeHistory::default());
     let key = |n: u64| KeyDigest::of(&n.to_le_bytes());
     let mut tenants: Vec<Tenant> = (0..1000).map(|n| tenant(n, vec![key(n)])).collect();
@@ -104,8 +104,8 @@
             _ => drop(tenants.remove(from)),
         }
         home.raise(Version(at), slice(&tenants));
-        let Body::Steps(steps) = home.body(reader.at) else { panic!("steps are smaller") };
-        assert!(bitcode::encode(&Body::Steps(steps.clone())).len() * 50 < whole, "a fiftieth at most");
+        let UpdateBody::Steps(steps) = home.body(reader.at) else { panic!("steps are smaller") };
+        assert!(bitcode::encode(&UpdateBody::Steps(steps.clone())).len() * 50 < whole, "a fiftieth at most");
         assert!(reader.follow(&steps));
         assert_eq!(reader.slice, home.slice, "at {at}");
     }
@@ -119,7 +119,7 @@
     let mut r = reader();
     let other = Arc::new(slice_of((100..150).map(|n| row(n, 1000)).collect()));
     let nonce = r.ask(Time(2_000_000));
-    assert_eq!(r.told(nonce, &[item(3, Span(0), Body::Whole(other))]).len(), 1);
+    assert_eq!(r.told(nonce, &[item(3, Span(0), UpdateBody::Whole(other))]).len(), 1);
     let nonce = r.ask(Time(2_100_000));
     assert!(r.told(nonce, &[item(5, Span(0), home.body(Version(3)))]).is_empty(), "not taken");
     assert_eq!(r.have(&Scope::Routes), Version(0), "it asks for the whole");
@@ -134,7 +134,7 @@
 #[test]
 fn given_an_unasked_push_when_it_comes_then_it_raises_the_version_and_proves_nothing() {
     let mut r = reader();
-    let push = |at| [item(at, Span(0), Body::Whole(routes(0..at)))];
+    let push = |at| [item(at, Span(0), UpdateBody::Whole(routes(0..at)))];
     assert!(r.pushed(&push(4)).is_empty(), "nothing before the first own proof");
     let nonce = r.ask(Time(2_000_000));
     r.told(nonce, &push(4));
@@ -151,7 +151,7 @@
 #[test]
 fn given_answers_pushes_and_repeats_in_any_order_when_read_then_the_version_never_goes_back() {
     for seed in 1..40 {
-        let mut rand = Seeded(seed);
+        let mut rand = SeededRandom(seed);
         let mut home = ChangeHistory::default();
         let mut bodies: Vec<(u64, Vec<TopicUpdate>)> = Vec::new();
         for at in 1..20u64 {
@@ -183,10 +183,11 @@
     for at in 1..6u64 {
         home.raise(Version(at), routes(0..100 + at));
     }
-    let Body::Steps(steps) = home.body(Version(2)) else { panic!("steps") };
+    let UpdateBody::Steps(steps) = home.body(Version(2)) else { panic!("steps") };
     let mut reader = ChangeHistory::default();
     reader.raise(Version(2), routes(0..102));
-    let torn: Vec<Arc<Step>> = steps.iter().enumerate().filter(|s| s.0 != 1).map(|s| s.1.clone()).collect();
+    let torn: Vec<Arc<DeltaStep>> =
+        steps.iter().enumerate().filter(|s| s.0 != 1).map(|s| s.1.clone()).collect();
     assert!(!reader.follow(&torn));
     assert_eq!(reader.at, Version(2));
     assert!(reader.follow(&steps));
--- a/tests/disk.rs
+++ b/tests/disk.rs
@@ -4,7 +4,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::{Deployment, quebec, vanua};
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 
 const DUE: Span = Span::ms(3000);
@@ -142,7 +142,7 @@
         w.until(DUE, |w| view(w, head).is_some_and(|v| v.chain.len() == 2)).expect("mended");
         w.nodes[middle].sync = Span::ms(9000);
         let name = Name::from("a1");
-        let id = w.ask(5, Op::Leaving(name.clone()));
+        let id = w.ask(5, OperatorCall::MarkLeaving(name.clone()));
         w.run_for(Span::ms(40 * seed));
         w.start_node(last);
         let told = w.until(Span::ms(5000), |w| w.answers.contains_key(&id));
--- a/tests/distrust.rs
+++ b/tests/distrust.rs
@@ -1,5 +1,5 @@
 use spindledock::fleet::read::read_text;
-use spindledock::fleet::runner::Report;
+use spindledock::fleet::runner::RunnerReport;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::placement::distrust::{Distrust, FIRST_PAUSE, FORGOTTEN_AFTER, LONGEST_PAUSE};
@@ -34,18 +34,18 @@
 fn given_a_doubted_runner_when_it_tells_of_less_than_it_holds_then_the_weights_count() {
     let config = read_text(r#"{"models":[{"name":"big","weight_mb":60},{"name":"mid","weight_mb":40}]}"#);
     let config = config.expect("sound");
-    let report = Report {
+    let report = RunnerReport {
         instance: runner(),
         room_mb: 100,
         holds: vec![Name::from("big")],
         loading: vec![Name::from("mid")],
-        ..Report::default()
+        ..RunnerReport::default()
     };
     let mut distrust = Distrust::default();
     assert_eq!(distrust.corrected(&config, report.clone()).used_mb, 0, "believed until a load fails");
     distrust.failed(&runner(), NOW);
     assert_eq!(distrust.corrected(&config, report.clone()).used_mb, 100);
-    let more = Report { used_mb: 130, ..report };
+    let more = RunnerReport { used_mb: 130, ..report };
     assert_eq!(distrust.corrected(&config, more).used_mb, 130, "more than the weights is believed");
 }
 
@@ -55,9 +55,9 @@
     let flight = Flight::planned(runner(), Name::from("big"), 60, false, NOW);
     flights.rows.insert(OrderId(1), flight);
     flights.answered(NOW, OrderId(1), 200);
-    let report = Report { instance: runner(), ..Report::default() };
+    let report = RunnerReport { instance: runner(), ..RunnerReport::default() };
     assert!(!flights.told(NOW + Span::ms(2000), &report), "it may still begin");
-    let at_work = Report { busy: true, ..report.clone() };
+    let at_work = RunnerReport { busy: true, ..report.clone() };
     assert!(!flights.told(NOW + Span::ms(4000), &at_work), "it is at work on it");
     assert!(flights.told(NOW + Span::ms(4000), &report));
     assert!(!flights.told(NOW + Span::ms(4000), &report), "and that once");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 use spindledock::launch::deployment::Deployment;
 use spindledock::membership::rendezvous::Watch;
 use spindledock::membership::service::SUSPECT;
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 use spindledock::sim::cost::fleet_of;
 use spindledock::sim::record::Fact;
@@ -51,7 +51,7 @@
 fn spread(w: &World, name: &str, from: Time) -> (usize, Span) {
     let mut first: BTreeMap<usize, Time> = BTreeMap::new();
     for (t, f) in w.record.rows.iter().filter(|r| r.0 >= from) {
-        if let Fact::Learnt { place, scope, .. } = f
+        if let Fact::TopicChange { place, scope, .. } = f
             && scope == name
         {
             first.entry(*place).or_insert(*t);
@@ -68,7 +68,7 @@
         w.run_for(Span::ms(5000));
         let (core, routers) = (w.controllers(), w.routers());
         let from = w.now;
-        let id = w.ask(core[0], Op::Leaving(Name::from("p1")));
+        let id = w.ask(core[0], OperatorCall::MarkLeaving(Name::from("p1")));
         assert_eq!(w.answer(id, Span::ms(3000)), Some(200));
         w.run_for(Span::ms(500));
         let name = format!("service:{}", w.plan.plain_service);
--- a/tests/hold.rs
+++ b/tests/hold.rs
@@ -1,5 +1,5 @@
 use spindledock::fleet::runner::Runner;
-use spindledock::kernel::hold::{Hold, STUCK};
+use spindledock::kernel::hold::{STUCK_AFTER, SyncGate};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::msg::*;
@@ -25,7 +25,7 @@
         leaving: false,
     };
     let (order, name) = (OrderId(1), Name::from("m00"));
-    Effect::Drive(RunnerOrder {
+    Effect::OrderRunner(RunnerOrder {
         order,
         term: Term(1),
         runner,
@@ -39,31 +39,31 @@
 
 #[test]
 fn given_a_save_under_way_when_effects_follow_then_they_wait_in_order_and_orders_to_runners_do_not() {
-    let (mut hold, now) = (Hold::default(), Time(1_000_000));
-    let (out, job) = hold.take(now, vec![send()]);
+    let (mut hold, now) = (SyncGate::default(), Time(1_000_000));
+    let (out, job) = hold.submit(now, vec![send()]);
     assert!(out.len() == 1 && job.is_none(), "nothing is held without a save");
-    let (out, job) = hold.take(now, vec![save(), send()]);
-    let first = job.expect("a job").no;
+    let (out, job) = hold.submit(now, vec![save(), send()]);
+    let first = job.expect("a job").number;
     assert!(out.is_empty());
-    let (out, job) = hold.take(now + Span::ms(20), vec![send(), drive(now)]);
-    assert!(job.is_none() && matches!(out[..], [Effect::Drive(_)]), "{out:?}");
-    let (_, job) = hold.take(now + Span::ms(40), vec![save(), send()]);
-    let second = job.expect("a job").no;
-    assert_eq!(hold.synced(now + Span::ms(60), first).len(), 2);
-    assert_eq!(hold.synced(now + Span::ms(80), second).len(), 1);
-    assert!(!hold.slow(now + Span::ms(80)));
+    let (out, job) = hold.submit(now + Span::ms(20), vec![send(), drive(now)]);
+    assert!(job.is_none() && matches!(out[..], [Effect::OrderRunner(_)]), "{out:?}");
+    let (_, job) = hold.submit(now + Span::ms(40), vec![save(), send()]);
+    let second = job.expect("a job").number;
+    assert_eq!(hold.release_synced(now + Span::ms(60), first).len(), 2);
+    assert_eq!(hold.release_synced(now + Span::ms(80), second).len(), 1);
+    assert!(!hold.is_slow(now + Span::ms(80)));
 }
 
 #[test]
 fn given_a_save_that_hangs_when_leases_are_granted_then_these_and_heartbeats_leave_at_once() {
-    let (mut hold, now) = (Hold::default(), Time(1_000_000));
+    let (mut hold, now) = (SyncGate::default(), Time(1_000_000));
     let chain = |msg| Effect::Send { to: NodeId(2), msg: Msg::Chain(msg) };
-    let (out, _) = hold.take(now, vec![save()]);
+    let (out, _) = hold.submit(now, vec![save()]);
     assert!(out.is_empty());
     let beat = ChainMsg::Heartbeat { view: ViewNo(1), room: false, impaired: true, leaving: false };
     let vote = ChainMsg::Accepted { no: ViewNo(2), ballot: Ballot::default() };
     let grant = ChainMsg::LeaseGrant { view: ViewNo(1), sent: now };
-    let (out, _) = hold.take(now + STUCK, vec![chain(beat), chain(vote), chain(grant)]);
+    let (out, _) = hold.submit(now + STUCK_AFTER, vec![chain(beat), chain(vote), chain(grant)]);
     let left: Vec<bool> = out
         .iter()
         .map(|e| {
@@ -76,15 +76,19 @@
 
 #[test]
 fn given_a_save_that_hangs_when_messages_follow_then_they_are_dropped_until_it_is_synced() {
-    let (mut hold, now) = (Hold::default(), Time(1_000_000));
-    let (_, job) = hold.take(now, vec![save(), send()]);
-    let later = now + STUCK;
-    assert!(hold.stuck(later));
-    let (out, _) = hold.take(later, vec![send(), Effect::Ready(true)]);
+    let (mut hold, now) = (SyncGate::default(), Time(1_000_000));
+    let (_, job) = hold.submit(now, vec![save(), send()]);
+    let later = now + STUCK_AFTER;
+    assert!(hold.is_stuck(later));
+    let (out, _) = hold.submit(later, vec![send(), Effect::Ready(true)]);
     assert!(matches!(out[..], [Effect::Ready(true)]), "{out:?}");
-    assert_eq!(hold.synced(later, job.expect("a job").no).len(), 1, "only what was sent before it hung");
-    assert!(hold.slow(later) && !hold.stuck(later), "it has to prove itself first");
-    let (_, job) = hold.take(later, vec![save()]);
-    hold.synced(later + Span::ms(5), job.expect("a job").no);
-    assert!(!hold.slow(later + Span::ms(5)));
+    assert_eq!(
+        hold.release_synced(later, job.expect("a job").number).len(),
+        1,
+        "only what was sent before it hung"
+    );
+    assert!(hold.is_slow(later) && !hold.is_stuck(later), "it has to prove itself first");
+    let (_, job) = hold.submit(later, vec![save()]);
+    hold.release_synced(later + Span::ms(5), job.expect("a job").number);
+    assert!(!hold.is_slow(later + Span::ms(5)));
 }
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -187,17 +187,17 @@
 
 #[test]
 fn given_any_flipped_bit_when_a_frame_is_opened_then_it_is_refused() {
-    let raw = wire::seal(b"some body or other");
+    let raw = wire::encode_frame(b"some body or other");
     for bit in 0..raw.len() * 8 {
         let mut bad = raw.clone();
         bad[bit / 8] ^= 1 << (bit % 8);
-        assert!(wire::open(&bad, 1024).is_err(), "bit {bit}");
+        assert!(wire::decode_frame(&bad, 1024).is_err(), "bit {bit}");
     }
-    assert!(wire::open(&wire::seal(&[0; 2000]), 1024).is_err());
+    assert!(wire::decode_frame(&wire::encode_frame(&[0; 2000]), 1024).is_err());
     assert!(
         [&[][..], &[9, 1], &[1, 255, 7], &[2, 255, 7], &[2, 0, 0, 99]]
             .iter()
-            .all(|raw| wire::unpack(raw).is_err())
+            .all(|raw| wire::decode_envelope(raw).is_err())
     );
 }
 
@@ -209,7 +209,7 @@
 fn given_any_bytes_when_unpacked_then_nothing_crashes() {
     fn test(raw: Vec<u8>) -> bool {
         let _ = (log_format::read(1, &raw), log_format::read_format_one(&raw));
-        wire::unpack(&raw).is_err()
+        wire::decode_envelope(&raw).is_err()
     }
     check(test as fn(Vec<u8>) -> bool);
 }
--- a/tests/input_queue.rs
+++ b/tests/input_queue.rs
@@ -1,12 +1,12 @@
 //! The lanes in front of a node.
 
 use spindledock::chain::messages::ChainMsg;
-use spindledock::fleet::holdings::Want;
+use spindledock::fleet::holdings::UnmetDemand;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::input_queue::{InputQueue, LANE_LIMIT, Next, TURNS};
 use spindledock::kernel::lanes::{Lane, class_of};
 use spindledock::kernel::time::{Span, Time};
-use spindledock::msg::{Event, LiveRoute, Msg, RouterTell};
+use spindledock::msg::{Event, Msg, RouteTraffic, RouterReport};
 use spindledock::runner_list::messages::RunnerListing;
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
 }
 
 fn mail(from: u64, msg: Msg) -> Event {
-    Event::Mail { from: NodeId(from), fleet: FleetId(1), msg }
+    Event::Message { from: NodeId(from), fleet: FleetId(1), msg }
 }
 
 fn heartbeat(from: u64) -> Event {
@@ -41,23 +41,26 @@
 }
 
 fn tell(from: u64, at: u64) -> Event {
-    mail(from, Msg::Tell(Arc::new(RouterTell { routes_at: Version(at), ..RouterTell::default() })))
+    mail(
+        from,
+        Msg::RouterReport(Arc::new(RouterReport { routes_version: Version(at), ..RouterReport::default() })),
+    )
 }
 
 fn tell_with_live_orders(from: u64, at: u64) -> Event {
-    let row = LiveRoute { service: Name::from("s"), host: "h".into(), prefix: "/".into(), orders: 1 };
-    let tell = RouterTell { routes_at: Version(at), live: vec![row], ..RouterTell::default() };
-    mail(from, Msg::Tell(Arc::new(tell)))
+    let row = RouteTraffic { service: Name::from("s"), host: "h".into(), prefix: "/".into(), orders: 1 };
+    let tell = RouterReport { routes_version: Version(at), live: vec![row], ..RouterReport::default() };
+    mail(from, Msg::RouterReport(Arc::new(tell)))
 }
 
 fn want(from: u64) -> Event {
-    mail(from, Msg::Want(Vec::<Want>::new()))
+    mail(from, Msg::UnmetDemand(Vec::<UnmetDemand>::new()))
 }
 
 fn told(next: Option<Next<Event>>) -> (u64, u64, bool) {
     match next.map(|next| next.item) {
-        Some(Event::Mail { from, msg: Msg::Tell(tell), .. }) => {
-            (from.0, tell.routes_at.0, !tell.live.is_empty())
+        Some(Event::Message { from, msg: Msg::RouterReport(tell), .. }) => {
+            (from.0, tell.routes_version.0, !tell.live.is_empty())
         }
         other => panic!("a report of a router was due, not {other:?}"),
     }
@@ -68,7 +71,7 @@
     let mut before = Before::default();
     for n in 0..2 * LANE_LIMIT as u64 {
         before.add(want(n));
-        before.add(Event::Ordered { order: OrderId::default(), status: 200 });
+        before.add(Event::OrderAnswered { order: OrderId::default(), status: 200 });
     }
     before.add(heartbeat(7));
     let next = before.next().expect("something waits");
@@ -79,7 +82,7 @@
 fn given_a_full_deferrable_lane_when_an_operator_reads_then_nothing_goes_before_it() {
     let mut before = Before::default();
     (0..2 * LANE_LIMIT as u64).for_each(|n| before.add(tell(n, 1)));
-    before.add(Event::Ask { id: ChangeId::default(), path: "source".into() });
+    before.add(Event::OperatorRead { id: ChangeId::default(), path: "source".into() });
     assert_eq!(before.next().map(|next| next.item.kind()), Some("operator read"));
 }
 
@@ -113,7 +116,7 @@
     let ids: Vec<NodeId> = (1..100).map(NodeId).collect();
     ids.iter().for_each(|n| before.add(heartbeat(n.0)));
     let sender = |next: Next<Event>| match next.item {
-        Event::Mail { from, .. } => from,
+        Event::Message { from, .. } => from,
         other => panic!("{other:?}"),
     };
     let out: Vec<NodeId> = std::iter::from_fn(|| before.next()).map(sender).collect();
@@ -123,8 +126,8 @@
 #[test]
 fn given_more_than_a_lane_takes_when_it_is_full_then_the_oldest_that_may_be_lost_goes_and_is_counted() {
     let mut before = Before::default();
-    before.add(Event::Ordered { order: OrderId::default(), status: 200 });
-    before.add(Event::Listed(RunnerListing { runners: vec![], asked: NOW }));
+    before.add(Event::OrderAnswered { order: OrderId::default(), status: 200 });
+    before.add(Event::RunnersListed(RunnerListing { runners: vec![], asked: NOW }));
     (0..LANE_LIMIT as u64 + 8).for_each(|n| before.add(want(n)));
     assert_eq!(before.queue.dropped(), 8);
     let kinds = before.kinds();
@@ -138,7 +141,7 @@
     before.add(tell(1, 1));
     let mut turns = 0;
     loop {
-        before.add(Event::Ask { id: ChangeId::default(), path: "source".into() });
+        before.add(Event::OperatorRead { id: ChangeId::default(), path: "source".into() });
         turns += 1;
         let next = before.next().expect("something waits");
         if next.lane == Lane::Deferrable {
@@ -152,8 +155,8 @@
 fn given_wants_of_many_routers_when_a_runner_answers_and_work_is_due_then_neither_waits_behind_them() {
     let mut before = Before::default();
     (0..LANE_LIMIT as u64).for_each(|n| before.add(want(n)));
-    before.add(Event::Ordered { order: OrderId::default(), status: 202 });
-    before.add(Event::Work);
+    before.add(Event::OrderAnswered { order: OrderId::default(), status: 202 });
+    before.add(Event::DutyTick);
     let kinds = before.kinds();
     assert_eq!(kinds[..2], ["order answer", "work"]);
 }
@@ -165,7 +168,7 @@
 fn given_answers_of_runners_without_end_when_wants_wait_then_each_fifth_input_is_a_want() {
     let mut before = Before::default();
     (0..40).for_each(|n| before.add(want(n)));
-    (0..400).for_each(|_| before.add(Event::Ordered { order: OrderId::default(), status: 202 }));
+    (0..400).for_each(|_| before.add(Event::OrderAnswered { order: OrderId::default(), status: 202 }));
     let kinds = before.kinds();
     let longest = kinds[..200].split(|kind| *kind == "want").map(|row| row.len()).max();
     assert!(longest <= Some(ANSWERS_BEFORE_A_WANT), "{longest:?} answers before a want");
--- a/tests/lead.rs
+++ b/tests/lead.rs
@@ -4,7 +4,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 
 #[test]
@@ -12,13 +12,13 @@
     seeded(1..13, |seed| {
         let mut w = World::boot(vanua(), seed);
         let (core, router) = (w.controllers(), w.routers()[0]);
-        let base = w.nodes[0].node.as_ref().map(|n| n.views.state.config_at);
+        let base = w.nodes[0].node.as_ref().map(|n| n.views.state.config_version);
         for n in &core {
             w.kill_node(*n);
         }
         let text = "{\"models\":[{\"name\":\"extra\",\"weight_mb\":9}]}".to_string();
         let base = if seed % 2 == 0 { base } else { None };
-        let id = w.ask(router, Op::Part { base, text });
+        let id = w.ask(router, OperatorCall::PatchConfig { base, text });
         for n in core.iter().rev() {
             w.run_for(Span::ms(40 * seed));
             w.start_node(*n);
--- a/tests/lease_return.rs
+++ b/tests/lease_return.rs
@@ -3,10 +3,10 @@
 use spindledock::chain::core::Chain;
 use spindledock::chain::lease::LEASE_PROMISE;
 use spindledock::chain::view::View;
-use spindledock::kernel::component::Me;
+use spindledock::kernel::component::LocalNode;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::node::Node;
-use spindledock::kernel::rand::Seeded;
+use spindledock::kernel::rand::SeededRandom;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::msg::*;
 
@@ -29,19 +29,19 @@
 /// A ready member that has run for a while.
 fn member(node: NodeId) -> Node {
     let address = "10.0.0.1:1".parse().expect("an address");
-    let me = Me {
+    let me = LocalNode {
         node,
         role: Role::Controller,
         domain: Name::from("z1"),
         addr: address,
         admin: address,
         seeds: vec![],
-        seed: false,
-        core: 0,
-        bear: 1,
-        first: false,
-        proof: Span::ms(2000),
-        lease: Span::ms(4500),
+        is_seed: false,
+        core_size: 0,
+        tolerated_failures: 1,
+        may_found: false,
+        freshness_limit: Span::ms(2000),
+        serving_lease: Span::ms(4500),
         started: Time(1),
     };
     let records = vec![
@@ -50,14 +50,14 @@
         Record::View { view: first_view() },
         Record::Ready { view: ViewNo(1) },
     ];
-    let mut member = Node::new(me, Box::new(Seeded(node.0)));
+    let mut member = Node::new(me, Box::new(SeededRandom(node.0)));
     member.add(Box::new(Chain::new(node, records, Time(1))));
     member.feed(Time(1), Event::Start);
     member
 }
 
 fn hear(member: &mut Node, now: Time, from: NodeId, msg: ChainMsg) -> Vec<Effect> {
-    member.feed(now, Event::Mail { from, fleet: FLEET, msg: Msg::Chain(msg) })
+    member.feed(now, Event::Message { from, fleet: FLEET, msg: Msg::Chain(msg) })
 }
 
 fn grants(effects: &[Effect]) -> bool {
@@ -139,7 +139,7 @@
 #[test]
 fn given_a_tail_without_room_when_it_is_to_be_left_out_then_it_returns_its_lease_and_uses_no_late_grant() {
     let (mut tail, asked) = leased_tail();
-    tail.room = 0;
+    tail.free_disk_bytes = 0;
     let effects = hear(&mut tail, NOW + Span::ms(10), HEAD, prepare());
     assert!(says(&effects, |msg| *msg == returned(asked)), "{effects:?}");
     assert_eq!(tail.views.role.until, Time(0));
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -4,7 +4,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::{quebec, vanua};
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 use spindledock::sim::record::Fact;
 
@@ -40,7 +40,7 @@
             w.cuts.insert((c, told));
         }
         for name in ["p1", "a1", "a3"] {
-            w.ask(told, Op::Leaving(Name::from(name)));
+            w.ask(told, OperatorCall::MarkLeaving(Name::from(name)));
         }
         w.run_for(Span::ms(8000));
         w.cuts.clear();
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,9 +1,9 @@
 //! Membership alone, as a state machine: what it answers to one letter after another.
 
-use spindledock::kernel::component::Me;
+use spindledock::kernel::component::LocalNode;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::node::Node;
-use spindledock::kernel::rand::Seeded;
+use spindledock::kernel::rand::SeededRandom;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::membership::service::{DOUBT, Membership, PING};
 use spindledock::msg::*;
@@ -26,29 +26,29 @@
 }
 
 fn router(now: Time) -> Node {
-    let me = Me {
+    let me = LocalNode {
         node: OWN,
         role: Role::Router,
         domain: Name::from("zone"),
         addr: addr(OWN),
         admin: addr(OWN),
         seeds: vec![],
-        seed: false,
-        core: 3,
-        bear: 1,
-        first: true,
-        proof: Span::ms(1000),
-        lease: Span::ms(3000),
+        is_seed: false,
+        core_size: 3,
+        tolerated_failures: 1,
+        may_found: true,
+        freshness_limit: Span::ms(1000),
+        serving_lease: Span::ms(3000),
         started: now,
     };
-    let mut node = Node::new(me, Box::new(Seeded(1)));
+    let mut node = Node::new(me, Box::new(SeededRandom(1)));
     node.add(Box::new(Membership::default()));
     node.feed(now, Event::Start);
     node
 }
 
 fn letter(node: &mut Node, now: Time, from: NodeId, msg: Msg) -> Vec<Effect> {
-    node.feed(now, Event::Mail { from, fleet: FleetId(0), msg })
+    node.feed(now, Event::Message { from, fleet: FleetId(0), msg })
 }
 
 fn ping(who: &[NodeId], digest: u64) -> Msg {
@@ -58,7 +58,7 @@
 
 fn asked_for_all(effects: &[Effect]) -> Vec<NodeId> {
     let asked = |effect: &Effect| match effect {
-        Effect::Send { to, msg: Msg::Sync } => Some(*to),
+        Effect::Send { to, msg: Msg::GossipRequest } => Some(*to),
         _ => None,
     };
     effects.iter().filter_map(asked).collect()
--- a/tests/must_never.rs
+++ b/tests/must_never.rs
@@ -4,7 +4,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::{quebec, vanua};
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 use spindledock::sim::hurts::drop_only;
 use spindledock::sim::record::Fact;
@@ -43,7 +43,7 @@
         w.run_for(Span::ms(100));
         for name in ["p1", "p2", "a1", "a2"] {
             let name = Name::from(name);
-            w.ask(routers[0], Op::Leaving(name));
+            w.ask(routers[0], OperatorCall::MarkLeaving(name));
         }
         w.run_for(Span::ms(40_000));
         sound(&w);
@@ -116,7 +116,7 @@
         let core = w.controllers();
         for k in 0..3u64 {
             let text = format!("{{\"models\":[{{\"name\":\"extra{k}\",\"weight_mb\":9}}]}}");
-            let id = w.ask(core[0], Op::Part { base: None, text });
+            let id = w.ask(core[0], OperatorCall::PatchConfig { base: None, text });
             assert_eq!(w.answer(id, Span::ms(20_000)), Some(200), "{:?}", w.answers.get(&id));
             for n in &core {
                 w.kill_node(*n);
@@ -144,13 +144,13 @@
     seeded(1..9, |seed| {
         let mut w = World::boot(vanua(), seed);
         for _ in 0..4 {
-            let base = w.nodes[0].node.as_ref().map(|n| n.views.state.config_at);
+            let base = w.nodes[0].node.as_ref().map(|n| n.views.state.config_version);
             let mut ids = Vec::new();
             for place in [0, 4, 8] {
                 let mark = format!("race{place}");
                 let text =
                     format!("{{\"models\":[{{\"name\":\"{mark}\",\"weight_mb\":{}}}]}}", w.now.0 % 1000 + 1);
-                ids.push(w.ask(place, Op::Part { base, text }));
+                ids.push(w.ask(place, OperatorCall::PatchConfig { base, text }));
             }
             let got: Vec<Option<u16>> = ids.iter().map(|id| w.answer(*id, Span::ms(25_000))).collect();
             assert_eq!(got.iter().filter(|g| **g == Some(200)).count(), 1, "{got:?}");
--- a/tests/must_never_too.rs
+++ b/tests/must_never_too.rs
@@ -4,7 +4,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::{quebec, vanua};
-use spindledock::msg::{Event, Op};
+use spindledock::msg::{Event, OperatorCall};
 use spindledock::sim::World;
 use spindledock::sim::callers::SimFlow;
 use spindledock::sim::record::Fact;
@@ -61,8 +61,13 @@
     }
     w.runners[k].differ = differ;
     let from = w.runners[from].card.instance.clone();
-    let op =
-        Op::Move { service: Name::from("assistant"), model, from: from.clone(), to, want: Name::default() };
+    let op = OperatorCall::MoveModel {
+        service: Name::from("assistant"),
+        model,
+        from: from.clone(),
+        to,
+        want: Name::default(),
+    };
     let id = w.ask(0, op);
     assert_eq!(w.answer(id, Span::ms(5000)), Some(200), "{:?}", w.answers.get(&id));
     from
@@ -200,7 +205,7 @@
         w.traffic(40, 1.0, Span::ms(40_000));
         w.run_for(Span::ms(8000));
         let h = place_of(&w, "holder").expect("a holder");
-        w.operate(h, Event::Warned);
+        w.operate(h, Event::StopAnnounced);
         w.run_for(Span::ms(600));
         let next = place_of(&w, "holder").expect("a holder");
         assert_ne!(h, next, "named before the old one ends");
--- a/tests/news.rs
+++ b/tests/news.rs
@@ -4,7 +4,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 
 fn cut(w: &mut World, a: usize, others: &[usize]) {
@@ -26,7 +26,7 @@
             *routers.iter().find(|r| **r != home && w.nodes[**r].place.domain == zone).expect("a mate");
         cut(&mut w, home, &core);
         let name = Name::from("p1");
-        let id = w.ask(core[0], Op::Leaving(name));
+        let id = w.ask(core[0], OperatorCall::MarkLeaving(name));
         assert_eq!(w.answer(id, Span::ms(3000)), Some(200));
         w.run_for(Span::ms(1000));
         w.kill_node(mate);
@@ -50,7 +50,7 @@
         }
         for k in 0..4u64 {
             let name = Name(format!("a{}", k + 1));
-            let id = w.ask(w.routers()[0], Op::Leaving(name.clone()));
+            let id = w.ask(w.routers()[0], OperatorCall::MarkLeaving(name.clone()));
             assert_eq!(w.answer(id, Span::ms(5000)), Some(200));
             for n in &core {
                 w.kill_node(*n);
--- a/tests/order_again.rs
+++ b/tests/order_again.rs
@@ -11,7 +11,7 @@
 use spindledock::kernel::rand::Rand;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
-use spindledock::msg::{Event, Op};
+use spindledock::msg::{Event, OperatorCall};
 
 fn ledger_len(o: &Office, place: usize) -> usize {
     o.w.nodes[place].node.as_ref().map_or(0, |n| n.views.state.ledger.taken_len())
@@ -33,7 +33,7 @@
     for n in 0..count {
         let id = ChangeId::random(&mut o.w.rand);
         let place = n as usize % o.w.nodes.len();
-        o.w.operate(place, Event::Op { id, op: Op::Runners(vec![]) });
+        o.w.operate(place, Event::OperatorCall { id, op: OperatorCall::SetRunners(vec![]) });
         o.w.run_for(Span::ms(12));
     }
     o.w.run_for(Span::ms(1000));
--- a/tests/order_identity.rs
+++ b/tests/order_identity.rs
@@ -9,10 +9,10 @@
 use spindledock::fleet::ledger::*;
 use spindledock::fleet::state::*;
 use spindledock::kernel::ids::*;
-use spindledock::kernel::rand::Seeded;
+use spindledock::kernel::rand::SeededRandom;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 
 fn order(text: &str) -> ChangeId {
@@ -62,7 +62,7 @@
 fn given_thousands_of_internal_ends_when_an_operators_order_is_looked_for_then_it_is_still_known() {
     let mut state = FleetState::default();
     let id = adopt(&mut state, 0, 1);
-    let mut rand = Seeded(4);
+    let mut rand = SeededRandom(4);
     for _ in 0..5000 {
         let change = Change::Runners { id: ChangeId::random(&mut rand), list: vec![] };
         state.fold(state.at.next(), &change);
@@ -126,7 +126,7 @@
 fn given_a_name_used_for_two_documents_when_both_are_sent_then_one_is_confirmed_and_the_other_is_refused() {
     seeded(1..7, |seed| {
         let mut w = World::boot(vanua(), seed);
-        let part = |name: &str| Op::Part {
+        let part = |name: &str| OperatorCall::PatchConfig {
             base: None,
             text: format!("{{\"models\":[{{\"name\":\"{name}\",\"weight_mb\":9}}]}}"),
         };
@@ -147,9 +147,10 @@
 fn given_two_whole_configurations_on_one_base_when_sent_at_once_then_one_is_confirmed() {
     seeded(1..5, |seed| {
         let mut w = World::boot(vanua(), seed);
-        let base = w.nodes[0].node.as_ref().map(|n| n.views.state.config_at);
+        let base = w.nodes[0].node.as_ref().map(|n| n.views.state.config_version);
         let text = w.plan.config();
-        let ids = [0, 1].map(|n: usize| w.ask(3 + n, Op::Whole { base, text: text.clone() }));
+        let ids =
+            [0, 1].map(|n: usize| w.ask(3 + n, OperatorCall::ReplaceConfig { base, text: text.clone() }));
         let mut ends = ids.map(|id| w.answer(id, Span::ms(20_000)));
         ends.sort();
         assert_eq!(ends, [Some(200), Some(409)]);
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,6 +1,6 @@
 use spindledock::fleet::FleetConfig;
 use spindledock::fleet::read::read_text;
-use spindledock::fleet::runner::{Report, Runner};
+use spindledock::fleet::runner::{Runner, RunnerReport};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::placement::flights::{Flight, Flights, Offer};
@@ -25,7 +25,7 @@
         addr: ([127, 0, 0, 1], 9).into(),
         leaving: false,
     };
-    let report = Report {
+    let report = RunnerReport {
         instance: Name::from(name),
         room_mb: 100,
         used_mb: used,
@@ -34,7 +34,7 @@
         running: runs.iter().map(|r| r.1).sum(),
         runs: runs.iter().map(|r| (Name::from(r.0), r.1)).collect(),
         slots: 8,
-        ..Report::default()
+        ..RunnerReport::default()
     };
     Offer { runner, report }
 }
--- a/tests/placement_shares.rs
+++ b/tests/placement_shares.rs
@@ -6,8 +6,8 @@
 use duty::*;
 use spindledock::daemon::assemble::Policy;
 use spindledock::fleet::config::Class;
-use spindledock::fleet::holdings::{UseTell, Want};
-use spindledock::fleet::runner::Report;
+use spindledock::fleet::holdings::{NameUsage, UnmetDemand};
+use spindledock::fleet::runner::RunnerReport;
 use spindledock::fleet::slice::Slice;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
@@ -24,10 +24,10 @@
 const MISSING: u64 = 120;
 
 /// A runner with room for two more models.
-fn roomy_report(n: usize) -> Report {
+fn roomy_report(n: usize) -> RunnerReport {
     let report = full_report(&size(), n);
     let holds = report.holds[..1].to_vec();
-    Report { holds, runs: vec![], running: 3, orders: 1, used_mb: 65_000, ..report }
+    RunnerReport { holds, runs: vec![], running: 3, orders: 1, used_mb: 65_000, ..report }
 }
 
 fn fleet() -> Arc<Slice> {
@@ -42,20 +42,20 @@
 }
 
 /// What a router tells that has requests for all hot models under way.
-fn busy_router() -> Arc<RouterTell> {
+fn busy_router() -> Arc<RouterReport> {
     let size = size();
     let hot = || (0..HOT_MODELS).map(|n| size.held(3 * n as u64));
     let active =
         hot().enumerate().map(|(n, name)| (size.runner(n).instance, name, RUNS_AT_A_ROUTER)).collect();
     let service = service();
-    let used = |name| UseTell { service: service.clone(), name, idle: Span::ms(0), milli_per_s: 500 };
-    Arc::new(RouterTell { active, uses: hot().map(used).collect(), ..RouterTell::default() })
+    let used = |name| NameUsage { service: service.clone(), name, idle: Span::ms(0), milli_per_s: 500 };
+    Arc::new(RouterReport { active, uses: hot().map(used).collect(), ..RouterReport::default() })
 }
 
-fn wants() -> Vec<Want> {
+fn wants() -> Vec<UnmetDemand> {
     let names = (FIRST_MISSING..FIRST_MISSING + MISSING).map(|n| size().held(n));
     let service = service();
-    names.map(|name| Want { service: service.clone(), name, class: Class::Normal, count: 1 }).collect()
+    names.map(|name| UnmetDemand { service: service.clone(), name, class: Class::Normal, count: 1 }).collect()
 }
 
 /// The models that are ordered to be loaded, or for which something is unloaded, by the decisions logged.
@@ -78,19 +78,19 @@
     for _ in 0..100 {
         for name in looked_at(&bench.tick(&slice)) {
             let place = name.0[1..].parse().expect("a runner's number");
-            bench.feed(Event::Report { instance: name, report: Some(roomy_report(place)) });
+            bench.feed(Event::RunnerReport { instance: name, report: Some(roomy_report(place)) });
         }
     }
     let (tell, wants) = (busy_router(), wants());
     for n in 0..100 {
-        bench.mail(router(n), Msg::Tell(tell.clone()));
+        bench.mail(router(n), Msg::RouterReport(tell.clone()));
     }
     bench.now = bench.now + Span::ms(500);
     let (mut hot, mut wanted) = (0, 0);
     while hot + wanted < 60 && bench.now < BEGIN + Span::ms(4000) {
         bench.now = bench.now + TICK;
-        bench.mail(router(200), Msg::Want(wants.clone()));
-        let (more_hot, more_wanted) = decided(bench.published(Event::Work).into_iter(), &missing);
+        bench.mail(router(200), Msg::UnmetDemand(wants.clone()));
+        let (more_hot, more_wanted) = decided(bench.published(Event::DutyTick).into_iter(), &missing);
         (hot, wanted) = (hot + more_hot, wanted + more_wanted);
     }
     println!("rounds {}, weighed {}", bench.figure("rounds"), bench.figure("weighed"));
--- a/tests/placement_steps.rs
+++ b/tests/placement_steps.rs
@@ -6,7 +6,7 @@
 use duty::*;
 use spindledock::daemon::assemble::Policy;
 use spindledock::fleet::config::Class;
-use spindledock::fleet::holdings::Want;
+use spindledock::fleet::holdings::UnmetDemand;
 use spindledock::fleet::slice::Slice;
 use spindledock::fleet::state::{Change, Duty};
 use spindledock::kernel::ids::*;
@@ -50,7 +50,7 @@
         for name in asked {
             let place = name.0[1..].parse().expect("a runner's number");
             let report = Some(full_report(&size(), place));
-            out.extend(self.bench.feed(Event::Report { instance: name, report }));
+            out.extend(self.bench.feed(Event::RunnerReport { instance: name, report }));
         }
         out
     }
@@ -79,7 +79,7 @@
         if tick % 50 == 0 {
             for n in 0..NAMES {
                 let (service, name) = (Name::from("assistant"), size().held(n));
-                let want = Want { service, name, class: Class::Chat, count: 1 };
+                let want = UnmetDemand { service, name, class: Class::Chat, count: 1 };
                 holder.bench.component.wanted(router(n % ROUTERS), &want, holder.bench.now);
             }
         }
@@ -98,7 +98,7 @@
     let (mut told, mut most) = (BTreeSet::new(), 0);
     let mut out = vec![];
     for n in 0..ROUTERS {
-        out.extend(holder.bench.mail(router(n), Msg::HeldAsk));
+        out.extend(holder.bench.mail(router(n), Msg::HoldingsRequest));
     }
     for _ in 0..150 {
         most = most.max(held(&out).filter(|row| row.1.whole).map(|row| row.1.rows.len()).sum::<usize>());
@@ -117,7 +117,7 @@
     let mut sent_lists = |list: &[_]| {
         let out = holder
             .bench
-            .feed(Event::Listed(RunnerListing { runners: list.to_vec(), asked: holder.bench.now }));
+            .feed(Event::RunnersListed(RunnerListing { runners: list.to_vec(), asked: holder.bench.now }));
         holder.bench.now = holder.bench.now + Span::ms(100);
         sent(&out).count()
     };
@@ -166,7 +166,7 @@
     bench.views.members = Arc::new(rows);
     bench.views.state.duty = Some(Duty { holder: NodeId(99), term: Term(1), begun: true });
     bench.now = bench.now + TICK;
-    let published = bench.published(Event::Work);
+    let published = bench.published(Event::DutyTick);
     published.into_iter().find_map(|event| match event {
         JournalEvent::Submitted(change) => match &*change {
             Change::Duty { holder } => Some(*holder),
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -6,7 +6,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::{Deployment, quebec, vanua};
-use spindledock::msg::{Event, Op};
+use spindledock::msg::{Event, OperatorCall};
 use spindledock::sim::World;
 use spindledock::sim::record::Fact;
 use spindledock::sim::report::Report;
@@ -24,7 +24,7 @@
 
 fn show(w: &mut World, place: usize) -> String {
     let id = w.fresh_id();
-    w.operate(place, Event::Ask { id, path: "plan".into() });
+    w.operate(place, Event::OperatorRead { id, path: "plan".into() });
     assert_eq!(w.answer(id, Span::ms(4000)), Some(200));
     w.answers[&id].body.clone()
 }
@@ -38,19 +38,19 @@
     seeded(1..4, |seed| {
         let mut w = World::boot(asking(if seed % 2 == 0 { vanua() } else { quebec() }), seed);
         w.run_for(Span::ms(8000));
-        let id = w.ask(5, Op::Propose);
+        let id = w.ask(5, OperatorCall::ProposePlan);
         assert_eq!(w.answer(id, Span::ms(10_000)), Some(200), "{:?}", w.answers.get(&id));
         assert_eq!(loads(&w), 0, "nothing goes ahead by itself");
         let rows: Vec<String> = [0, 4, 7].iter().map(|n| show(&mut w, *n)).collect();
         assert!(rows[0].contains("proposed") && rows.iter().all(|r| *r == rows[0]), "any node, one answer");
         let open = plans(&w).into_iter().find(|p| p.state == PlanState::Proposed).expect("one is open");
         assert!(open.rehearsal.contains("faults=0") && open.stages.iter().all(|s| s.ms > 0), "{open:?}");
-        let stale = w.ask(2, Op::Accept(Version(1)));
+        let stale = w.ask(2, OperatorCall::AcceptPlan(Version(1)));
         assert_eq!(w.answer(stale, Span::ms(5000)), Some(409));
         assert!(w.answers[&stale].body.contains(&open.at.to_string()), "it names the current one");
-        let id = w.ask(1, Op::Accept(open.at));
+        let id = w.ask(1, OperatorCall::AcceptPlan(open.at));
         assert_eq!(w.answer(id, Span::ms(5000)), Some(200));
-        let again = w.ask(1, Op::Accept(open.at));
+        let again = w.ask(1, OperatorCall::AcceptPlan(open.at));
         assert_eq!(w.answer(again, Span::ms(5000)), Some(409));
         let at = open.at;
         let done = w.until(Span::ms(90_000), |w| {
@@ -83,11 +83,11 @@
     );
     let mut w = World::boot(Deployment { text: Some(text), ..plan }, 3);
     w.run_for(Span::ms(8000));
-    let id = w.ask(0, Op::Propose);
+    let id = w.ask(0, OperatorCall::ProposePlan);
     assert_eq!(w.answer(id, Span::ms(10_000)), Some(200));
     let open = plans(&w).into_iter().find(|p| p.state == PlanState::Proposed).expect("one is open");
     w.runners[0].dark = true;
-    let id = w.ask(0, Op::Accept(open.at));
+    let id = w.ask(0, OperatorCall::AcceptPlan(open.at));
     assert_eq!(w.answer(id, Span::ms(5000)), Some(200));
     w.run_for(Span::ms(40_000));
     let end = plans(&w).into_iter().find(|p| p.at == open.at).expect("kept");
@@ -111,7 +111,7 @@
         w.run_for(Span::ms(8000));
         for k in 0..9 {
             let name = w.runners[k].card.instance.clone();
-            w.ask(w.routers()[k % 6], Op::Leaving(name));
+            w.ask(w.routers()[k % 6], OperatorCall::MarkLeaving(name));
             w.run_for(Span::ms(7000));
             w.kill_runner(k);
             w.runners[k].card.instance.0.push('n');
--- a/tests/platform_cuts_caller.rs
+++ b/tests/platform_cuts_caller.rs
@@ -6,7 +6,7 @@
 mod road;
 
 use road::{LONG, Road, good, one, order, rest, status, value};
-use spindledock::kernel::rand::{Rand, Seeded};
+use spindledock::kernel::rand::{Rand, SeededRandom};
 use spindledock::standin::raw::Heard;
 use std::sync::Arc;
 use tokio::io::AsyncWriteExt;
@@ -96,7 +96,7 @@
 #[tokio::test]
 async fn given_drawn_requests_one_behind_the_other_when_they_are_cut_anywhere_then_only_whole_ones_arrive() {
     for seed in 0..200 {
-        let mut rand = Seeded(seed);
+        let mut rand = SeededRandom(seed);
         let all: Vec<Sent> = (0..1 + rand.below(5))
             .map(|n| {
                 let body = nested(rand.below(3000) as usize);
@@ -136,7 +136,7 @@
 }
 
 /// A drawn fault in one request's framing.
-fn spoil(rand: &mut Seeded, raw: &mut Vec<u8>) {
+fn spoil(rand: &mut SeededRandom, raw: &mut Vec<u8>) {
     let at = rand.below(raw.len() as u64) as usize;
     match rand.below(5) {
         0 => raw[at] = b" \t\r\n\0:;,+-0aZ\xff"[rand.below(14) as usize],
@@ -150,7 +150,7 @@
 #[tokio::test]
 async fn given_requests_with_drawn_faults_when_they_come_then_no_runner_gets_an_id_inside_a_body() {
     for seed in 1000..1600 {
-        let mut rand = Seeded(seed);
+        let mut rand = SeededRandom(seed);
         let parts = (rand.below(2) == 0).then(|| 1 + rand.below(50) as usize);
         let body = nested(300);
         let mut s = sent("outer".into(), body, parts);
--- a/tests/platform_cuts_runner.rs
+++ b/tests/platform_cuts_runner.rs
@@ -5,7 +5,7 @@
 mod road;
 
 use road::{Road, body, good, order, say, status, value};
-use spindledock::kernel::rand::{Rand, Seeded};
+use spindledock::kernel::rand::{Rand, SeededRandom};
 use spindledock::standin::raw::{Heard, Step};
 use std::sync::Arc;
 
@@ -152,7 +152,7 @@
 }
 
 /// What a runner says, drawn: whole answers of this request and others, interim ones, rubbish and ends.
-fn drawn(rand: &mut Seeded, h: &Heard) -> Vec<Step> {
+fn drawn(rand: &mut SeededRandom, h: &Heard) -> Vec<Step> {
     let id = h.head("x-request-id").to_string();
     let own = |end: &str| {
         let text = format!("own {id} by {}", h.runner);
@@ -198,7 +198,7 @@
 #[tokio::test]
 async fn given_drawn_bytes_of_runners_when_many_requests_go_over_kept_connections_then_none_gets_anothers() {
     for seed in 0..150 {
-        let rand = Arc::new(std::sync::Mutex::new(Seeded(seed)));
+        let rand = Arc::new(std::sync::Mutex::new(SeededRandom(seed)));
         let script = Arc::new(move |_, h: &Heard| drawn(&mut rand.lock().expect("a draw"), h));
         let road = Road::open(4, 3, 5, script).await;
         for n in 0..12 {
--- a/tests/platform_given/road.rs
+++ b/tests/platform_given/road.rs
@@ -71,7 +71,10 @@
         let caller = Arc::new(Caller);
         let words = Arc::new(RunnerWords { node: "n".into() });
         let front = Arc::new(Front {
-            table: Arc::new(Table::bare(Name::from("hall-a"), spindledock::distribution::reader::FRESH)),
+            table: Arc::new(Table::bare(
+                Name::from("hall-a"),
+                spindledock::distribution::reader::FRESHNESS_LIMIT,
+            )),
             pool: Default::default(),
             clock: clock.clone(),
             leaving: AtomicBool::new(false),
--- a/tests/platform_precondition.rs
+++ b/tests/platform_precondition.rs
@@ -1,7 +1,7 @@
 //! What `If-Match` may hold, and what each form of it means.
 
 use spindledock::kernel::ids::ChangeId;
-use spindledock::msg::{Answer, Event, Op};
+use spindledock::msg::{Answer, Event, OperatorCall};
 use spindledock::platform::operator::{Figures, Operator};
 use spindledock::protocol::{OperatorProtocol, OperatorRequest};
 
@@ -10,7 +10,7 @@
     let side = Operator { figures: Figures::default() };
     match side.read_request(ChangeId::default(), "PUT", "/spindledock/config", value, "{}") {
         Some(OperatorRequest::Event(event)) => match *event {
-            Event::Op { op: Op::Foreign { base, .. }, .. } => Ok(base),
+            Event::OperatorCall { op: OperatorCall::PlatformConfig { base, .. }, .. } => Ok(base),
             other => panic!("{other:?}"),
         },
         Some(OperatorRequest::Bad(answer)) => Err(side.status(&answer)),
--- a/tests/quota_members/mod.rs
+++ b/tests/quota_members/mod.rs
@@ -9,10 +9,10 @@
 use spindledock::constraints::ownership::owner_of;
 use spindledock::fleet::read::read_text;
 use spindledock::fleet::state::FleetState;
-use spindledock::kernel::component::Me;
+use spindledock::kernel::component::LocalNode;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::node::Node;
-use spindledock::kernel::rand::Seeded;
+use spindledock::kernel::rand::SeededRandom;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::msg::*;
 use std::sync::Arc;
@@ -38,28 +38,28 @@
         "{{\"tenants\":[{{\"name\":\"t1\",\"keys\":[\"k\"],\"rate_milli\":{rate_milli},\"burst\":{burst}}}]}}"
     );
     let config = read_text(&text).expect("a sound configuration");
-    Arc::new(FleetState { config, config_at: Version(at), at: Version(at), ..FleetState::default() })
+    Arc::new(FleetState { config, config_version: Version(at), at: Version(at), ..FleetState::default() })
 }
 
 /// A member of the chain that knows the view and the configuration.
 pub fn member(node: NodeId, view: &View) -> Node {
     let address = "10.0.0.1:1".parse().expect("an address");
-    let me = Me {
+    let me = LocalNode {
         node,
         role: Role::Controller,
         domain: Name::from("z1"),
         addr: address,
         admin: address,
         seeds: vec![],
-        seed: false,
-        core: 0,
-        bear: 1,
-        first: false,
-        proof: Span::ms(2000),
-        lease: Span::ms(4500),
+        is_seed: false,
+        core_size: 0,
+        tolerated_failures: 1,
+        may_found: false,
+        freshness_limit: Span::ms(2000),
+        serving_lease: Span::ms(4500),
         started: Time(1),
     };
-    let mut node = Node::new(me, Box::new(Seeded(node.0)));
+    let mut node = Node::new(me, Box::new(SeededRandom(node.0)));
     node.add(Box::new(QuotaOwner::new(QuotaSettings::default())));
     install(&mut node, view);
     node.views.apply(&JournalEvent::StateLoaded(state(10_000, 10, 1)));
@@ -73,7 +73,7 @@
 }
 
 pub fn mail(node: &mut Node, now: Time, from: NodeId, msg: ConstraintMsg) -> Vec<ConstraintMsg> {
-    sent(node.feed(now, Event::Mail { from, fleet: FleetId(0), msg: Msg::Constraint(msg) }))
+    sent(node.feed(now, Event::Message { from, fleet: FleetId(0), msg: Msg::Constraint(msg) }))
 }
 
 pub fn sent(effects: Vec<Effect>) -> Vec<ConstraintMsg> {
--- a/tests/quota_owner.rs
+++ b/tests/quota_owner.rs
@@ -167,7 +167,7 @@
 #[test]
 fn given_a_tenant_that_is_dropped_and_added_again_when_asked_then_its_bucket_is_empty() {
     let (mut owner, settled) = settled_owner(&view(1, &NODES));
-    let empty = FleetState { config_at: Version(2), ..FleetState::default() };
+    let empty = FleetState { config_version: Version(2), ..FleetState::default() };
     owner.views.apply(&JournalEvent::StateLoaded(Arc::new(empty)));
     owner.feed(settled, Event::Tick);
     owner.views.apply(&JournalEvent::StateLoaded(state(10_000, 10, 3)));
@@ -178,14 +178,14 @@
 fn given_a_tail_without_its_lease_when_asked_for_authority_then_it_is_silent() {
     let first = view(1, &NODES);
     let mut tail = member(NODES[2], &first);
-    let config_at = tail.views.state.config_at;
-    let ask = ConstraintMsg::AuthorityRequest { view: first.no, sent: START, config_at };
+    let config_version = tail.views.state.config_version;
+    let ask = ConstraintMsg::AuthorityRequest { view: first.no, sent: START, config_version };
     let role = |until| ChainRole { view: first.no, tail: true, until, ..ChainRole::default() };
     tail.views.apply(&JournalEvent::Role(role(START)));
     assert!(mail(&mut tail, START, NODES[0], ask.clone()).is_empty());
     tail.views.apply(&JournalEvent::Role(role(START + Span::ms(1))));
     assert_eq!(mail(&mut tail, START, NODES[0], ask).len(), 1);
-    let newer = ConstraintMsg::AuthorityRequest { view: ViewNo(2), sent: START, config_at };
+    let newer = ConstraintMsg::AuthorityRequest { view: ViewNo(2), sent: START, config_version };
     assert!(mail(&mut tail, START, NODES[0], newer).is_empty());
 }
 
@@ -196,8 +196,9 @@
     let until = START + Span::ms(1);
     let role = ChainRole { view: first.no, tail: true, until, ..ChainRole::default() };
     tail.views.apply(&JournalEvent::Role(role));
-    let newest = tail.views.state.config_at;
-    let ask = |config_at| ConstraintMsg::AuthorityRequest { view: first.no, sent: START, config_at };
+    let newest = tail.views.state.config_version;
+    let ask =
+        |config_version| ConstraintMsg::AuthorityRequest { view: first.no, sent: START, config_version };
     assert!(mail(&mut tail, START, NODES[0], ask(Version(0))).is_empty());
     assert_eq!(mail(&mut tail, START, NODES[0], ask(newest)).len(), 1);
 }
--- a/tests/rehearse.rs
+++ b/tests/rehearse.rs
@@ -4,13 +4,13 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::{quebec, vanua};
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 use spindledock::sim::report::Report;
 use spindledock::standin::tally::End;
 
 fn refused(w: &mut World, text: &str, word: &str) {
-    let id = w.ask(5, Op::Part { base: None, text: text.into() });
+    let id = w.ask(5, OperatorCall::PatchConfig { base: None, text: text.into() });
     assert_eq!(w.answer(id, Span::ms(12_000)), Some(422), "{text}: {:?}", w.answers.get(&id));
     let body = &w.answers[&id].body;
     assert!(body.contains(word) && body.contains("rollout.refused_percent"), "{text}: {body}");
@@ -33,10 +33,13 @@
                 {"name":"assistant","routes":[{"prefix":"/tiles"}]}]}"#,
             "instead of tiles",
         );
-        let id = w.ask(3, Op::Part { base: None, text: r#"{"moving":{"warm":{"tries":2}}}"#.into() });
+        let id = w.ask(
+            3,
+            OperatorCall::PatchConfig { base: None, text: r#"{"moving":{"warm":{"tries":2}}}"#.into() },
+        );
         assert_eq!(w.answer(id, Span::ms(5000)), Some(400), "a stage that cannot carry one stream");
         let fine = r#"{"services":[{"name":"assistant","inbox":200}]}"#;
-        let id = w.ask(3, Op::Part { base: None, text: fine.into() });
+        let id = w.ask(3, OperatorCall::PatchConfig { base: None, text: fine.into() });
         assert_eq!(w.answer(id, Span::ms(12_000)), Some(200), "{:?}", w.answers.get(&id));
         w.run_for(Span::ms(60_000));
         sound(&w);
--- a/tests/report_pace.rs
+++ b/tests/report_pace.rs
@@ -8,7 +8,7 @@
 use adopt::Office;
 use duty::*;
 use spindledock::fleet::config::Class;
-use spindledock::fleet::holdings::{HeldTell, Want};
+use spindledock::fleet::holdings::{HoldingsUpdate, UnmetDemand};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
@@ -24,7 +24,7 @@
 const STATE_EACH: Span = Span::ms(250);
 
 fn beat(term: u64) -> Msg {
-    Msg::Held(Arc::new(HeldTell {
+    Msg::Holdings(Arc::new(HoldingsUpdate {
         holder: HOLDER,
         term: Term(term),
         seq: 1,
@@ -34,12 +34,12 @@
     }))
 }
 
-fn state() -> RouterTell {
-    RouterTell { routes_at: Version(5), ..RouterTell::default() }
+fn state() -> RouterReport {
+    RouterReport { routes_version: Version(5), ..RouterReport::default() }
 }
 
 /// The reports that a router sends in ten seconds, by receiver.
-fn reports(n: u64, routers: u64, holder: bool, state: &RouterTell) -> Vec<(u64, NodeId)> {
+fn reports(n: u64, routers: u64, holder: bool, state: &RouterReport) -> Vec<(u64, NodeId)> {
     let mut bench = Bench::new(Teller::default(), router(n), Role::Router, routers);
     let mut all = vec![];
     for step in 0..40 {
@@ -90,8 +90,9 @@
 
 #[test]
 fn given_293_routers_when_a_runner_is_leaving_or_a_change_is_tried_then_the_head_hears_of_it_at_once() {
-    let leaving = RouterTell { leaving: vec![Name::from("r7")], ..state() };
-    let tried = RouterTell { trial_seen: ChangeId::of_document(DocumentDigest::of(&[b"a"])), ..state() };
+    let leaving = RouterReport { leaving: vec![Name::from("r7")], ..state() };
+    let tried =
+        RouterReport { candidate_seen: ChangeId::of_document(DocumentDigest::of(&[b"a"])), ..state() };
     for state in [leaving, tried] {
         let all = reports(9, LARGE, true, &state);
         assert_eq!(all.iter().filter(|row| row.1 == HEAD).count(), 40);
@@ -102,25 +103,30 @@
 fn given_293_routers_when_no_holder_is_known_then_wants_wait_and_one_controller_a_second_is_asked() {
     let mut bench = Bench::new(Seeker::default(), router(1), Role::Router, LARGE);
     let mut asked = 0;
-    let want = Want { service: Name::from("s"), name: Name::from("m1"), class: Class::Chat, count: 1 };
+    let want = UnmetDemand { service: Name::from("s"), name: Name::from("m1"), class: Class::Chat, count: 1 };
     for step in 0..60 {
         bench.now = BEGIN + Span(Span::ms(50).0 * (step + 1));
-        let mut out = bench.feed(Event::Wanted(want.clone()));
+        let mut out = bench.feed(Event::NameWanted(want.clone()));
         out.extend(bench.feed(Event::Tick));
-        assert!(!sent(&out).any(|(_, msg)| matches!(msg, Msg::Want(_))), "no holder is there to be told");
-        asked += sent(&out).filter(|(_, msg)| matches!(msg, Msg::HeldAsk)).count();
+        assert!(
+            !sent(&out).any(|(_, msg)| matches!(msg, Msg::UnmetDemand(_))),
+            "no holder is there to be told"
+        );
+        asked += sent(&out).filter(|(_, msg)| matches!(msg, Msg::HoldingsRequest)).count();
     }
     assert!((1..=4).contains(&asked), "{asked} questions in three seconds");
     let out = bench.mail(HOLDER, beat(1));
-    let told: Vec<NodeId> = sent(&out).filter(|row| matches!(row.1, Msg::Want(_))).map(|row| row.0).collect();
+    let told: Vec<NodeId> =
+        sent(&out).filter(|row| matches!(row.1, Msg::UnmetDemand(_))).map(|row| row.0).collect();
     assert_eq!(told, [HOLDER], "it is told as soon as it makes itself known");
 }
 
 #[test]
 fn given_a_router_that_passes_holdings_on_when_told_then_the_others_of_its_zone_hear_them_once() {
     let mut bench = Bench::new(Seeker::default(), router(1), Role::Router, LARGE);
-    let tell = HeldTell { holder: HOLDER, term: Term(1), seq: 1, whole: true, relay: true, rows: vec![] };
-    let out = bench.mail(HOLDER, Msg::Held(Arc::new(tell)));
+    let tell =
+        HoldingsUpdate { holder: HOLDER, term: Term(1), seq: 1, whole: true, relay: true, rows: vec![] };
+    let out = bench.mail(HOLDER, Msg::Holdings(Arc::new(tell)));
     let passed: BTreeMap<NodeId, bool> = held(&out).map(|(to, tell)| (to, tell.relay)).collect();
     let mates: Vec<NodeId> = (0..LARGE).map(router).filter(|to| zone(to.0) == zone(router(1).0)).collect();
     assert_eq!(held(&out).count(), mates.len() - 1);
--- a/tests/runtime_turns.rs
+++ b/tests/runtime_turns.rs
@@ -3,10 +3,10 @@
 use spindledock::daemon::driver::{Driver, WORK_BETWEEN_TURNS};
 use spindledock::daemon::input::Input;
 use spindledock::daemon::links::Links;
-use spindledock::kernel::component::{Component, Context, Me};
+use spindledock::kernel::component::{Component, Context, LocalNode};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::node::Node;
-use spindledock::kernel::rand::Seeded;
+use spindledock::kernel::rand::SeededRandom;
 use spindledock::kernel::time::{Clock, Span, Time};
 use spindledock::msg::{Effect, Event, Msg, Role};
 use std::net::{SocketAddr, TcpListener};
@@ -41,9 +41,9 @@
     }
 
     fn on(&mut self, event: &Event, ctx: &mut Context) {
-        if let Event::Warned = event {
+        if let Event::StopAnnounced = event {
             self.clock.0.fetch_add(WORK_OF_INPUT.0, Ordering::SeqCst);
-            ctx.out.push(Effect::SendAt { addr: self.peer, msg: Msg::Nudge });
+            ctx.effects.push(Effect::SendAt { addr: self.peer, msg: Msg::RequestUpdates });
             self.left -= 1;
             if self.left == 0 {
                 self.end = None;
@@ -52,21 +52,21 @@
     }
 }
 
-fn me() -> Me {
+fn me() -> LocalNode {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
-    Me {
+    LocalNode {
         node: NodeId(1),
         role: Role::Controller,
         domain: Name::from("z1"),
         addr,
         admin: addr,
         seeds: vec![],
-        seed: false,
-        core: 3,
-        bear: 1,
-        first: true,
-        proof: Span::ms(2000),
-        lease: Span::ms(4500),
+        is_seed: false,
+        core_size: 3,
+        tolerated_failures: 1,
+        may_found: true,
+        freshness_limit: Span::ms(2000),
+        serving_lease: Span::ms(4500),
         started: Time(0),
     }
 }
@@ -80,7 +80,7 @@
     let clock = Arc::new(WorkClock(AtomicU64::new(1_000_000)));
     let (tx, rx) = mpsc::channel();
     for _ in 0..INPUTS {
-        tx.send(Input::Event(Event::Warned)).expect("the queue is open");
+        tx.send(Input::Event(Event::StopAnnounced)).expect("the queue is open");
     }
     let turns: Arc<Mutex<Vec<Time>>> = Arc::default();
     let (taken, at, of_node) = (turns.clone(), clock.clone(), clock.clone());
@@ -91,7 +91,7 @@
     };
     let end = Mutex::new(Some(tx));
     let build = move |_| {
-        let mut node = Node::new(me(), Box::new(Seeded(1)));
+        let mut node = Node::new(me(), Box::new(SeededRandom(1)));
         let end = end.lock().unwrap().take();
         node.add(Box::new(Busy { clock: of_node.clone(), peer, left: INPUTS, end }));
         (node, vec![])
--- a/tests/sequences.rs
+++ b/tests/sequences.rs
@@ -1,14 +1,14 @@
 //! How many orders a runner has taken, as the holder of placement knows it from answers and reports that lag.
 
-use spindledock::fleet::runner::Report;
+use spindledock::fleet::runner::RunnerReport;
 use spindledock::kernel::ids::Name;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::placement::sequence::Sequences;
 
 const NOW: Time = Time(50_000_000);
 
-fn report(orders: u64) -> Report {
-    Report { instance: Name::from("a1"), orders, ..Report::default() }
+fn report(orders: u64) -> RunnerReport {
+    RunnerReport { instance: Name::from("a1"), orders, ..RunnerReport::default() }
 }
 
 fn at(ms: u64) -> Time {
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -6,7 +6,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
-use spindledock::msg::{ChainMsg, Event, Msg, Op};
+use spindledock::msg::{ChainMsg, Event, Msg, OperatorCall};
 use spindledock::sim::World;
 use spindledock::sim::record::Fact;
 
@@ -30,10 +30,10 @@
         w.run_for(Span::ms(700 + 37 * seed));
         let (head, middle, tail) = (place(&w, 0), place(&w, 1), place(&w, 2));
         w.cuts.insert((tail, middle));
-        w.ask(head, Op::Leaving(Name::from("a1")));
+        w.ask(head, OperatorCall::MarkLeaving(Name::from("a1")));
         w.run_for(Span::ms(90));
         let state = w.nodes[tail].node.as_ref().expect("alive").views.state.clone();
-        w.ask(head, Op::Leaving(Name::from("a2")));
+        w.ask(head, OperatorCall::MarkLeaving(Name::from("a2")));
         w.run_for(Span::ms(90));
         let synced = chain_status(&w, middle, "synced");
         assert_ne!(synced, state.at.to_string(), "it holds more than the snapshot");
@@ -41,7 +41,7 @@
         let node = w.nodes[middle].node.as_ref().expect("alive");
         let (from, fleet) = (ident(&w, head).expect("alive"), node.views.fleet);
         let msg = Msg::Chain(ChainMsg::Snapshot { at: state.at, state: Box::new(state) });
-        w.feed(middle, Event::Mail { from, fleet, msg });
+        w.feed(middle, Event::Message { from, fleet, msg });
         assert_eq!(chain_status(&w, middle, "synced"), synced, "the entries behind it stay");
         w.cuts.clear();
         w.run_for(DUE);
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -3,7 +3,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::{quebec, vanua};
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 use spindledock::sim::callers::SimFlow;
 use spindledock::sim::steps::{Act, Build, sweep};
@@ -24,7 +24,7 @@
 
 fn patch(w: &mut World) {
     let text = "{\"models\":[{\"name\":\"extra\",\"weight_mb\":9}]}".to_string();
-    w.ask(4, Op::Part { base: None, text });
+    w.ask(4, OperatorCall::PatchConfig { base: None, text });
 }
 
 #[test]
@@ -107,7 +107,16 @@
         let to = to.expect("an idle runner");
         w.runners[to].stock.holds.clear();
         let (from, to) = (w.runners[from].card.instance.clone(), w.runners[to].card.instance.clone());
-        w.ask(0, Op::Move { service: Name::from("assistant"), model, from, to, want: Name::default() });
+        w.ask(
+            0,
+            OperatorCall::MoveModel {
+                service: Name::from("assistant"),
+                model,
+                from,
+                to,
+                want: Name::default(),
+            },
+        );
     };
     let all: Vec<usize> = (0..9).collect();
     each("move", &build, &act, Span::ms(7000), &all, &["move-stage", "move-done"]);
@@ -118,7 +127,7 @@
     let build = || {
         let mut w = World::boot(vanua(), 15);
         for n in 0..490u64 {
-            w.ask(0, Op::Leaving(Name(format!("a{}", n % 9 + 1))));
+            w.ask(0, OperatorCall::MarkLeaving(Name(format!("a{}", n % 9 + 1))));
             w.run_for(Span::ms(8));
         }
         patch(&mut w);
@@ -129,7 +138,7 @@
         for n in 0..30u64 {
             let name = Name(format!("a{}", n % 9 + 1));
             w.at(w.now + Span::ms(8 * n), move |w| {
-                w.ask(0, Op::Leaving(name));
+                w.ask(0, OperatorCall::MarkLeaving(name));
             });
         }
     };
--- a/tests/turn.rs
+++ b/tests/turn.rs
@@ -4,7 +4,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 use spindledock::sim::callers::SimFlow;
 use spindledock::sim::report::Report;
@@ -13,7 +13,7 @@
     let text = format!(
         "{{\"rollout\":{{\"refused_percent\":100}},\"services\":[{{\"name\":\"assistant\",\"routes\":[{text}]}}]}}"
     );
-    let id = w.ask(4, Op::Part { base: None, text });
+    let id = w.ask(4, OperatorCall::PatchConfig { base: None, text });
     assert_eq!(w.answer(id, Span::ms(12_000)), Some(200), "{:?}", w.answers.get(&id));
 }
 
--- a/tests/wait.rs
+++ b/tests/wait.rs
@@ -3,7 +3,7 @@
 use common::{seeded, sound};
 use spindledock::fleet::config::Class;
 use spindledock::fleet::read::read_text;
-use spindledock::fleet::runner::{Report, Runner};
+use spindledock::fleet::runner::{Runner, RunnerReport};
 use spindledock::fleet::slice::service_slice;
 use spindledock::gate::order::Why;
 use spindledock::gate::{Gate, Order, Plan};
@@ -38,12 +38,12 @@
 
 fn fresh(g: &mut Gate, now: Time, holds: &[&str], running: u64) {
     (g.proven, g.routes_proven) = (now, now);
-    let report = Report {
+    let report = RunnerReport {
         instance: Name::from("a"),
         holds: holds.iter().map(|h| Name::from(*h)).collect(),
         slots: 2,
         running,
-        ..Report::default()
+        ..RunnerReport::default()
     };
     g.report(now, &Name::from("a"), report);
 }
--- a/tests/wants.rs
+++ b/tests/wants.rs
@@ -2,7 +2,7 @@
 
 use spindledock::daemon::assemble::Policy;
 use spindledock::fleet::config::Class;
-use spindledock::fleet::holdings::Want;
+use spindledock::fleet::holdings::UnmetDemand;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::placement::duty::Placement;
@@ -15,7 +15,7 @@
 
 fn want(placement: &mut Placement, router: u64, name: &str, class: Class, count: u64, now: Time) {
     let (service, name) = (Name::from("assistant"), Name::from(name));
-    placement.wanted(NodeId(router), &Want { service, name, class, count }, now);
+    placement.wanted(NodeId(router), &UnmetDemand { service, name, class, count }, now);
 }
 
 fn first(placement: &Placement, now: Time) -> &str {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -4,9 +4,9 @@
 use spindledock::chain::ledger_transfer::{LeaseLedger, LedgerRow};
 use spindledock::chain::view::View;
 use spindledock::constraints::messages::*;
-use spindledock::distribution::history::Body;
+use spindledock::distribution::history::UpdateBody;
 use spindledock::fleet::config::Class;
-use spindledock::fleet::holdings::{HeldTell, Want};
+use spindledock::fleet::holdings::{HoldingsUpdate, UnmetDemand};
 use spindledock::fleet::state::{Change, Scope};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
@@ -50,7 +50,7 @@
 }
 
 fn same(scope: Scope) -> TopicUpdate {
-    TopicUpdate { scope, at: Version(3), age: Span::ms(40), body: Body::Same }
+    TopicUpdate { scope, at: Version(3), age: Span::ms(40), body: UpdateBody::Same }
 }
 
 fn ledger() -> LeaseLedger {
@@ -97,7 +97,7 @@
     let got = GrantedRow { tenant, tokens: 1, blocked: Some(Span::ms(100)) };
     let counter = HandedCounter { tenant: Name::from("t"), level: 7 };
     let rows = vec![
-        ConstraintMsg::AuthorityRequest { view: ViewNo(2), sent: Time(9), config_at: Version(3) },
+        ConstraintMsg::AuthorityRequest { view: ViewNo(2), sent: Time(9), config_version: Version(3) },
         ConstraintMsg::AuthorityGrant { view: ViewNo(2), sent: Time(9) },
         ConstraintMsg::Acquire(Acquire { key, rows: vec![asked] }),
         ConstraintMsg::Granted { key, rows: vec![got] },
@@ -112,8 +112,8 @@
 
 fn messages() -> Vec<Msg> {
     let answer = Answer { status: 200, body: "{}".into(), retry_s: 0, redirect: Some(addr()) };
-    let want = Want { service: Name::from("s"), name: Name::from("m"), class: Class::Chat, count: 3 };
-    let steps = TopicUpdate { body: Body::Steps(vec![]), ..same(Scope::Duty) };
+    let want = UnmetDemand { service: Name::from("s"), name: Name::from("m"), class: Class::Chat, count: 3 };
+    let steps = TopicUpdate { body: UpdateBody::Steps(vec![]), ..same(Scope::Duty) };
     let grant = ServingLeaseGrant { nonce: 3, grant: LeaseNumber::default(), length: Span::ms(2000) };
     let (id, nonce) = (ChangeId::default(), 12);
     let plain = vec![
@@ -122,8 +122,8 @@
         Msg::Ping(gossip()),
         Msg::Pong(gossip()),
         Msg::Gossip(gossip()),
-        Msg::Doubt { who: vec![NodeId(6)] },
-        Msg::Sync,
+        Msg::Suspect { who: vec![NodeId(6)] },
+        Msg::GossipRequest,
         Msg::UpdateRequest { nonce, direct: true, have: vec![(Scope::Duty, Version(3))] },
         Msg::UpdateReply { nonce, items: vec![] },
         Msg::UpdateReply { nonce, items: vec![same(Scope::Duty), same(Scope::Routes)] },
@@ -132,15 +132,15 @@
         Msg::UpdateRefused { nonce, view: Some(view()) },
         Msg::ServingLeaseRequest(lease_request()),
         Msg::ServingLeaseGrant(grant),
-        Msg::Op { id, attempt: 2, op: Op::Propose },
-        Msg::OpPending { id, attempt: 2 },
-        Msg::OpEnd { id, attempt: 2, answer: answer.clone() },
-        Msg::Ask { attempt: 1, path: "/status".into() },
-        Msg::AskEnd { attempt: 1, answer },
-        Msg::Tell(Arc::default()),
-        Msg::Nudge,
-        Msg::Want(vec![want]),
-        Msg::Held(std::sync::Arc::new(HeldTell {
+        Msg::OperatorCall { id, attempt: 2, op: OperatorCall::ProposePlan },
+        Msg::CallPending { id, attempt: 2 },
+        Msg::CallAnswer { id, attempt: 2, answer: answer.clone() },
+        Msg::OperatorRead { attempt: 1, path: "/status".into() },
+        Msg::ReadAnswer { attempt: 1, answer },
+        Msg::RouterReport(Arc::default()),
+        Msg::RequestUpdates,
+        Msg::UnmetDemand(vec![want]),
+        Msg::Holdings(std::sync::Arc::new(HoldingsUpdate {
             holder: NodeId(5),
             term: Term(3),
             seq: 8,
@@ -148,7 +148,7 @@
             relay: true,
             rows: vec![],
         })),
-        Msg::HeldAsk,
+        Msg::HoldingsRequest,
     ];
     let plain = plain.into_iter().chain(constraint_messages());
     plain.chain(chain_messages().into_iter().map(Msg::Chain)).collect()
@@ -159,15 +159,15 @@
 }
 
 fn body(raw: &[u8]) -> &[u8] {
-    wire::open(raw, wire::NET_MAX).expect("a frame").0
+    wire::decode_frame(raw, wire::MAX_NETWORK_BODY).expect("a frame").0
 }
 
 #[test]
 fn given_each_kind_of_message_when_packed_and_unpacked_then_it_is_the_same() {
     for msg in messages() {
         let letter = envelope(msg);
-        let raw = wire::pack(&letter);
-        assert_eq!(wire::unpack(body(&raw)).expect("it decodes"), letter);
+        let raw = wire::encode_envelope(&letter);
+        assert_eq!(wire::decode_envelope(body(&raw)).expect("it decodes"), letter);
     }
 }
 
@@ -176,14 +176,14 @@
 {
     for msg in messages() {
         let letter = envelope(msg);
-        let raw = wire::pack(&letter);
+        let raw = wire::encode_envelope(&letter);
         let body = body(&raw);
         for len in 0..body.len() {
-            let cut = wire::unpack(&body[..len]);
+            let cut = wire::decode_envelope(&body[..len]);
             let kind = |m: &Msg| std::mem::discriminant(m);
             assert!(cut.is_err() || kind(&cut.expect("decoded").msg) == kind(&letter.msg));
         }
         let longer = [body, &[0]].concat();
-        assert!(wire::unpack(&longer).is_err(), "{letter:?}");
+        assert!(wire::decode_envelope(&longer).is_err(), "{letter:?}");
     }
 }
--- a/tests/withdrawn.rs
+++ b/tests/withdrawn.rs
@@ -7,7 +7,7 @@
 use spindledock::fleet::FleetConfig;
 use spindledock::fleet::former::remembered;
 use spindledock::fleet::read::read_text;
-use spindledock::fleet::runner::{Report, Runner};
+use spindledock::fleet::runner::{Runner, RunnerReport};
 use spindledock::kernel::ids::Name;
 use spindledock::kernel::rand::mix;
 use spindledock::kernel::time::Span;
@@ -126,7 +126,7 @@
     let back = follow(&gone, with(&ma(60), ""));
     let (name, wanted) = (Name::from("ma"), Name::from("mb"));
     for (config, what) in [(&first, "as it was"), (&gone, "withdrawn"), (&back, "back with less")] {
-        assert_eq!(config.most_mb(&name), Some(150), "{what}");
+        assert_eq!(config.max_mb(&name), Some(150), "{what}");
         let runner = Runner {
             instance: Name::from("a"),
             service: Name::from("s"),
@@ -134,18 +134,18 @@
             addr: ([127, 0, 0, 1], 9).into(),
             leaving: false,
         };
-        let mut report = Report {
+        let mut report = RunnerReport {
             instance: Name::from("a"),
             room_mb: 230,
             holds: vec![name.clone()],
-            ..Report::default()
+            ..RunnerReport::default()
         };
         report.used_mb = most_used(config, &report);
         let offer = Offer { runner, report };
         assert!(!fits(config, &offer, &Flights::default(), &wanted), "{what}: 250 of 230 MB");
     }
-    assert_eq!(back.least_mb(&name), Some(60), "an unload frees no more than the least");
-    let unknown = Report { room_mb: 230, holds: vec![Name::from("never")], ..Report::default() };
+    assert_eq!(back.min_mb(&name), Some(60), "an unload frees no more than the least");
+    let unknown = RunnerReport { room_mb: 230, holds: vec![Name::from("never")], ..RunnerReport::default() };
     assert_eq!(most_used(&back, &unknown), 230, "a name that is not known fills its runner");
     assert!(maps(0).config().contains("m00"));
 }
