--- a/src/chain/change_queue.rs
+++ b/src/chain/change_queue.rs
@@ -193,7 +193,7 @@
         match ev {
             Event::Message { from, msg, .. } => match msg {
                 Msg::OperatorCall { id, attempt, op } => self.received(*from, *id, *attempt, op, ctx),
-                Msg::OperatorRead { attempt, path } => self.ask(*from, *attempt, path, ctx),
+                Msg::ReadCall { attempt, path } => self.ask(*from, *attempt, path, ctx),
                 Msg::Chain(ChainMsg::ReadIndexRequest { view, sent }) => {
                     self.proof_requested(*view, *sent, ctx)
                 }
--- a/src/daemon/links.rs
+++ b/src/daemon/links.rs
@@ -194,7 +194,7 @@
 
 async fn read(mut tcp: TcpStream, take: &Take, traffic: &Traffic) -> Result<(), crate::kernel::fault::Fault> {
     loop {
-        let mut head = [0u8; wire::HEADER_LEN];
+        let mut head = [0u8; wire::FRAME_HEADER_LEN];
         let came = tokio::time::timeout(UNHEARD, tcp.read_exact(&mut head)).await;
         if !matches!(came, Ok(Ok(_))) {
             return Ok(());
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -186,9 +186,7 @@
     let departure = departure.clone();
     let rt = tokio::runtime::Handle::current();
     Box::new(move |e| match e {
-        Effect::TopicUpdate { scope, at, slice, proven } => {
-            table.learn(clock.now(), &scope, at, slice, proven)
-        }
+        Effect::Topic { scope, at, slice, proven } => table.learn(clock.now(), &scope, at, slice, proven),
         Effect::ServingLease { scopes, until } => table.lease(clock.now(), &scopes, until),
         Effect::RunnerLeaving(name) => table.mark(clock.now(), &name),
         Effect::RouterCount(n) => routers.store(n, Ordering::SeqCst),
--- a/src/distribution/history.rs
+++ b/src/distribution/history.rs
@@ -11,7 +11,7 @@
 pub struct DeltaStep {
     pub from: Version,
     pub at: Version,
-    pub print: u32,
+    pub checksum: u32,
     pub delta: Delta,
 }
 
@@ -31,12 +31,12 @@
 }
 
 impl ChangeHistory {
-    pub fn raise(&mut self, at: Version, slice: Arc<Slice>) {
+    pub fn advance(&mut self, at: Version, slice: Arc<Slice>) {
         let raw = bitcode::encode(&*slice);
-        let (from, print) = (self.at, crc32fast::hash(&raw));
+        let (from, checksum) = (self.at, crc32fast::hash(&raw));
         let old = self.slice.as_ref().filter(|_| from < at);
         match old.and_then(|old| Delta::of(old, &slice)) {
-            Some(delta) => self.push(DeltaStep { from, at, print, delta }),
+            Some(delta) => self.push(DeltaStep { from, at, checksum, delta }),
             None => self.steps.clear(),
         }
         (self.at, self.size, self.slice) = (at, raw.len(), Some(slice));
@@ -50,7 +50,7 @@
         }
     }
 
-    pub fn follow(&mut self, steps: &[Arc<DeltaStep>]) -> bool {
+    pub fn apply_steps(&mut self, steps: &[Arc<DeltaStep>]) -> bool {
         let first = steps.iter().position(|s| s.from == self.at);
         let (Some(first), Some(old)) = (first, &self.slice) else { return false };
         let mut slice = Slice::clone(old);
@@ -60,7 +60,7 @@
             (slice, at) = (new, s.at);
         }
         let raw = bitcode::encode(&slice);
-        if steps.last().is_none_or(|s| s.print != crc32fast::hash(&raw)) {
+        if steps.last().is_none_or(|s| s.checksum != crc32fast::hash(&raw)) {
             return false;
         }
         steps[first..].iter().for_each(|s| self.push(DeltaStep::clone(s)));
@@ -68,7 +68,7 @@
         true
     }
 
-    pub fn body(&self, old: Version) -> UpdateBody {
+    pub fn update_since(&self, old: Version) -> UpdateBody {
         let Some(slice) = &self.slice else { return UpdateBody::Same };
         if old == self.at && old > Version(0) {
             return UpdateBody::Same;
--- a/src/distribution/mod.rs
+++ b/src/distribution/mod.rs
@@ -8,5 +8,5 @@
 pub mod relay_node;
 pub mod serving_lease;
 pub mod subscribers;
-pub use reader::Reader;
+pub use reader::TopicReader;
 pub use relay_node::Distribution;
--- a/src/distribution/reader.rs
+++ b/src/distribution/reader.rs
@@ -9,19 +9,19 @@
 pub const FRESHNESS_LIMIT: Span = Span::ms(2000);
 /// How long a serving lease runs where the settings say nothing: `FRESH`, and what an acknowledgement may wait.
 pub const SERVING_LEASE: Span = Span::ms(4500);
-const KEEP: u64 = 256;
+const MAX_REQUESTS: u64 = 256;
 
 #[derive(Default)]
 pub struct Topic {
     pub history: ChangeHistory,
     pub proven: Option<Time>,
-    pub torn: bool,
+    pub needs_whole: bool,
 }
 
 #[derive(Default)]
-pub struct Reader {
+pub struct TopicReader {
     pub topics: BTreeMap<Scope, Topic>,
-    asks: BTreeMap<u64, Time>,
+    requests: BTreeMap<u64, Time>,
     next: u64,
     pub started: Time,
 }
@@ -38,39 +38,39 @@
         let done = match &item.body {
             UpdateBody::Same => return false,
             UpdateBody::Whole(slice) => {
-                self.history.raise(item.at, slice.clone());
+                self.history.advance(item.at, slice.clone());
                 true
             }
             UpdateBody::Steps(steps) => {
-                steps.last().is_some_and(|s| s.at == item.at) && self.history.follow(steps)
+                steps.last().is_some_and(|s| s.at == item.at) && self.history.apply_steps(steps)
             }
         };
-        self.torn = !done;
+        self.needs_whole = !done;
         done
     }
 }
 
-impl Reader {
-    pub fn new(started: Time) -> Reader {
-        Reader { started, ..Reader::default() }
+impl TopicReader {
+    pub fn new(started: Time) -> TopicReader {
+        TopicReader { started, ..TopicReader::default() }
     }
 
-    pub fn ask(&mut self, now: Time) -> u64 {
+    pub fn start_request(&mut self, now: Time) -> u64 {
         self.next += 1;
-        self.asks.insert(self.next, now);
-        while self.asks.len() as u64 > KEEP {
-            self.asks.pop_first();
+        self.requests.insert(self.next, now);
+        while self.requests.len() as u64 > MAX_REQUESTS {
+            self.requests.pop_first();
         }
         self.next
     }
 
-    pub fn have(&self, scope: &Scope) -> Version {
-        let topic = self.topics.get(scope).filter(|t| t.history.slice.is_some() && !t.torn);
+    pub fn known_version(&self, scope: &Scope) -> Version {
+        let topic = self.topics.get(scope).filter(|t| t.history.slice.is_some() && !t.needs_whole);
         topic.map_or(Version(0), |t| t.history.at)
     }
 
-    pub fn told(&mut self, nonce: u64, items: &[TopicUpdate]) -> Vec<TopicChange> {
-        let Some(sent) = self.asks.get(&nonce).copied() else { return vec![] };
+    pub fn handle_reply(&mut self, nonce: u64, items: &[TopicUpdate]) -> Vec<TopicChange> {
+        let Some(sent) = self.requests.get(&nonce).copied() else { return vec![] };
         let mut out = Vec::new();
         for item in items {
             let proven = sent - item.age;
@@ -92,7 +92,7 @@
         out
     }
 
-    pub fn pushed(&mut self, items: &[TopicUpdate]) -> Vec<TopicChange> {
+    pub fn handle_push(&mut self, items: &[TopicUpdate]) -> Vec<TopicChange> {
         let mut out = Vec::new();
         for item in items {
             let Some(topic) = self.topics.get_mut(&item.scope) else { continue };
--- a/src/distribution/relay_node.rs
+++ b/src/distribution/relay_node.rs
@@ -1,5 +1,5 @@
 use super::pace::{Backoff, Timer};
-use super::reader::{Reader, Topic, TopicChange};
+use super::reader::{Topic, TopicChange, TopicReader};
 use super::serving_lease::ServingLease;
 use super::subscribers::Subscribers;
 use crate::fleet::slice::Slice;
@@ -22,7 +22,7 @@
 const SPREAD: u64 = 100_000;
 
 pub struct Distribution {
-    pub reader: Reader,
+    pub reader: TopicReader,
     tail: Timer,
     home: Timer,
     late: Backoff,
@@ -44,7 +44,7 @@
 
 impl Distribution {
     pub fn new(started: Time) -> Distribution {
-        let mut reader = Reader::new(started);
+        let mut reader = TopicReader::new(started);
         reader.topics.insert(Scope::Routes, Topic::default());
         reader.topics.insert(Scope::Candidate, Topic::default());
         Distribution {
@@ -71,7 +71,7 @@
 
     fn ask(&mut self, to: NodeId, direct: bool, have: Vec<(Scope, Version)>, ctx: &mut Context) {
         if !have.is_empty() {
-            let nonce = self.reader.ask(ctx.now);
+            let nonce = self.reader.start_request(ctx.now);
             ctx.send(to, Msg::UpdateRequest { nonce, direct, have });
         }
     }
@@ -93,7 +93,7 @@
         let mut homes: BTreeMap<NodeId, Vec<(Scope, Version)>> = BTreeMap::new();
         let (mut owned, mut missed, mut lost) = (Vec::new(), Vec::new(), Vec::new());
         for scope in self.reader.topics.keys() {
-            let have = (scope.clone(), self.reader.have(scope));
+            let have = (scope.clone(), self.reader.known_version(scope));
             let age = self.reader.age(scope, ctx.now);
             let home = home(&scope_name(scope), &routers).unwrap_or(ctx.me.node);
             let own = home == ctx.me.node || self.mine.contains_key(scope);
@@ -106,7 +106,7 @@
                 _ => {}
             }
             if !own && to_home {
-                homes.entry(home).or_default().push((scope.clone(), self.reader.have(scope)));
+                homes.entry(home).or_default().push((scope.clone(), self.reader.known_version(scope)));
             }
         }
         if late {
@@ -142,12 +142,12 @@
         for (scope, old) in have {
             self.mine.insert(scope.clone(), ctx.now);
             let topic = self.reader.topics.entry(scope.clone()).or_default();
-            self.subscribers.note(from, scope, topic.history.at.max(*old), ctx.now);
+            self.subscribers.record(from, scope, topic.history.at.max(*old), ctx.now);
             let (Some(proven), true) = (topic.proven, topic.history.slice.is_some()) else { continue };
             if topic.history.at < *old {
                 continue;
             }
-            let (at, body) = (topic.history.at, topic.history.body(*old));
+            let (at, body) = (topic.history.at, topic.history.update_since(*old));
             items.push(TopicUpdate { scope: scope.clone(), at, age: ctx.now.since(proven), body });
         }
         ctx.send(from, Msg::UpdateReply { nonce, items });
@@ -167,13 +167,13 @@
                 self.learnt = ctx.now;
                 ctx.log_event("distribution", format!("{} {}", scope_name(&l.scope), l.at));
                 if let Some(topic) = self.reader.topics.get(&l.scope) {
-                    for (to, item) in self.subscribers.behind(&l.scope, &topic.history, ctx.now) {
+                    for (to, item) in self.subscribers.take_updates(&l.scope, &topic.history, ctx.now) {
                         pushes.entry(to).or_default().push(item);
                     }
                 }
             }
             let TopicChange { scope, at, slice, proven } = l;
-            ctx.effects.push(Effect::TopicUpdate { scope, at, slice, proven });
+            ctx.effects.push(Effect::Topic { scope, at, slice, proven });
         }
         for (to, items) in pushes {
             ctx.send(to, Msg::UpdatePush { items });
@@ -202,11 +202,11 @@
             Event::Message { from, msg, .. } => match msg {
                 Msg::UpdateRequest { nonce, direct: false, have } => self.asked(*from, *nonce, have, ctx),
                 Msg::UpdateReply { nonce, items } => {
-                    let rows = self.reader.told(*nonce, items);
+                    let rows = self.reader.handle_reply(*nonce, items);
                     self.learn(rows, ctx);
                 }
                 Msg::UpdatePush { items } => {
-                    let rows = self.reader.pushed(items);
+                    let rows = self.reader.handle_push(items);
                     self.learn(rows, ctx);
                 }
                 Msg::ServingLeaseGrant(grant) => self.lease_granted(grant, ctx),
--- a/src/distribution/serving_lease.rs
+++ b/src/distribution/serving_lease.rs
@@ -6,7 +6,7 @@
 //! each router that holds a lease has confirmed it, or has no more than `proof` left of that lease.
 
 use super::messages::{LeaseNumber, ServingLeaseGrant, ServingLeaseRequest};
-use super::reader::Reader;
+use super::reader::TopicReader;
 use super::relay_node::Distribution;
 use crate::fleet::serving::serving_scopes;
 use crate::fleet::slice::Slice;
@@ -52,7 +52,7 @@
 
 impl ServingLease {
     /// The next request, if one is due: at once after a change, else every `renewal`.
-    pub fn request(&mut self, reader: &Reader, renewal: Span, now: Time) -> Option<ServingLeaseRequest> {
+    pub fn request(&mut self, reader: &TopicReader, renewal: Span, now: Time) -> Option<ServingLeaseRequest> {
         let idle = now.since(self.requested);
         if idle < CONFIRMATION_INTERVAL {
             return None;
@@ -85,7 +85,7 @@
         self.until.since(now)
     }
 
-    fn scopes(&mut self, reader: &Reader) -> Option<Vec<Scope>> {
+    fn scopes(&mut self, reader: &TopicReader) -> Option<Vec<Scope>> {
         let routes = &reader.topics.get(&Scope::Routes)?.history;
         let Slice::Routes(content) = &**routes.slice.as_ref()? else { return None };
         if self.cached.0 != routes.at || self.cached.1.is_empty() {
@@ -96,9 +96,9 @@
 }
 
 /// The versions that a router has, or nothing if it doesn't know one of the topics yet.
-fn versions(reader: &Reader, scopes: &[Scope]) -> Option<Vec<Version>> {
+fn versions(reader: &TopicReader, scopes: &[Scope]) -> Option<Vec<Version>> {
     let version = |s: &Scope| {
-        let topic = reader.topics.get(s).filter(|t| t.history.slice.is_some() && !t.torn)?;
+        let topic = reader.topics.get(s).filter(|t| t.history.slice.is_some() && !t.needs_whole)?;
         Some(topic.history.at)
     };
     scopes.iter().map(version).collect()
--- a/src/distribution/subscribers.rs
+++ b/src/distribution/subscribers.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-pub const LATELY: Span = Span::ms(1000);
+pub const SUBSCRIPTION_TTL: Span = Span::ms(1000);
 
 #[derive(Clone, Default)]
 pub struct Subscribers {
@@ -14,23 +14,23 @@
 }
 
 impl Subscribers {
-    pub fn note(&mut self, from: NodeId, scope: &Scope, at: Version, now: Time) {
+    pub fn record(&mut self, from: NodeId, scope: &Scope, at: Version, now: Time) {
         let row = self.rows.entry(from).or_default();
         row.0 = now;
         row.1.insert(scope.clone(), at);
     }
 
-    pub fn behind(
+    pub fn take_updates(
         &mut self,
         scope: &Scope,
         history: &ChangeHistory,
         now: Time,
     ) -> Vec<(NodeId, TopicUpdate)> {
-        self.rows.retain(|_, r| now.since(r.0) < LATELY);
+        self.rows.retain(|_, r| now.since(r.0) < SUBSCRIPTION_TTL);
         let mut out = Vec::new();
         for (node, (_, have)) in &mut self.rows {
             let Some(old) = have.get_mut(scope).filter(|v| **v < history.at) else { continue };
-            let body = history.body(*old);
+            let body = history.update_since(*old);
             *old = history.at;
             out.push((*node, TopicUpdate { scope: scope.clone(), at: history.at, age: Span(0), body }));
         }
@@ -45,11 +45,11 @@
 }
 
 impl Publisher {
-    fn fresh(&mut self, scope: &Scope, state: &FleetState) -> &ChangeHistory {
+    fn current_history(&mut self, scope: &Scope, state: &FleetState) -> &ChangeHistory {
         let at = state.scope_at(scope);
         let history = self.histories.entry(scope.clone()).or_default();
         if history.slice.is_none() || history.at != at {
-            history.raise(at, Arc::new(state.slice(scope)));
+            history.advance(at, Arc::new(state.slice(scope)));
         }
         history
     }
@@ -63,11 +63,11 @@
     ) -> Vec<TopicUpdate> {
         let mut items = Vec::new();
         for (scope, old) in have {
-            let history = self.fresh(scope, state);
+            let history = self.current_history(scope, state);
             let at = history.at;
-            let body = if at < *old { UpdateBody::Same } else { history.body(*old) };
+            let body = if at < *old { UpdateBody::Same } else { history.update_since(*old) };
             items.push(TopicUpdate { scope: scope.clone(), at, age: Span(0), body });
-            self.subscribers.note(from, scope, at.max(*old), now);
+            self.subscribers.record(from, scope, at.max(*old), now);
         }
         items
     }
@@ -80,9 +80,9 @@
             if same || scope == Scope::Duty {
                 continue;
             }
-            self.fresh(&scope, state);
+            self.current_history(&scope, state);
             let Some(history) = self.histories.get(&scope) else { continue };
-            for (to, item) in self.subscribers.behind(&scope, history, now) {
+            for (to, item) in self.subscribers.take_updates(&scope, history, now) {
                 out.entry(to).or_default().push(item);
             }
         }
--- a/src/explore/invariants.rs
+++ b/src/explore/invariants.rs
@@ -145,7 +145,7 @@
     }
     let mut copy = Replica::clone(replica);
     let fleet = copy.process.as_ref().map_or(FleetId(0), |p| p.views.fleet);
-    let msg = Msg::OperatorRead { attempt: PROBE, path: PROBE_PATH.into() };
+    let msg = Msg::ReadCall { attempt: PROBE, path: PROBE_PATH.into() };
     let effects = copy.feed(cluster.now, Event::Message { from: CLIENT, fleet, msg }, cluster.members());
     let answered = |e: &Effect| matches!(e, Effect::Send { to: CLIENT, msg: Msg::ReadAnswer { attempt: PROBE, answer } } if answer.status == 200);
     effects.iter().any(answered)
--- a/src/hollow/node.rs
+++ b/src/hollow/node.rs
@@ -179,7 +179,7 @@
         let now = self.now;
         match e {
             Effect::ServingLease { scopes, until } => self.nodes[place].lease(scopes, *until),
-            Effect::TopicUpdate { scope, at, slice, proven } => {
+            Effect::Topic { scope, at, slice, proven } => {
                 self.nodes[place].learn(scope, *at, slice.as_ref(), *proven);
             }
             Effect::Answer { id, answer } => {
--- a/src/http/admin.rs
+++ b/src/http/admin.rs
@@ -5,7 +5,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::rand::OsRandom;
 use crate::msg::{Answer, Event, OperatorCall};
-use crate::protocol::{OperatorProtocol, OperatorRequest};
+use crate::protocol::{OperatorProtocol, ParsedCall};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, LOCATION};
@@ -81,9 +81,9 @@
             _ => side.id(&call.method, base, &call.text),
         };
         let answer = match side.read_request(id, &call.method, &call.path, base, &call.text)? {
-            OperatorRequest::Ready => return Some(self.ready_answer()),
-            OperatorRequest::Event(ev) => self.hand.ask(id, *ev).await,
-            OperatorRequest::Bad(answer) => answer,
+            ParsedCall::Ready => return Some(self.ready_answer()),
+            ParsedCall::Event(ev) => self.hand.ask(id, *ev).await,
+            ParsedCall::Bad(answer) => answer,
         };
         let mut response = operator(&answer);
         *response.status_mut() = StatusCode::from_u16(side.status(&answer)).unwrap_or_default();
@@ -163,12 +163,10 @@
     let tree = || Tree::parse(&text).map_err(|why| bad(&format!("{why}; send well-formed JSON")));
     let op = match (method, &rows[..]) {
         (&Method::GET, ["v1", "changes", id]) => {
-            return Ok(Event::OperatorRead { id: ask, path: format!("change/{id}") });
+            return Ok(Event::ReadCall { id: ask, path: format!("change/{id}") });
         }
-        (&Method::POST, ["v1", "query"]) => {
-            return Ok(Event::OperatorRead { id, path: format!("query/{text}") });
-        }
-        (&Method::GET, ["v1", what]) => return Ok(Event::OperatorRead { id, path: what.to_string() }),
+        (&Method::POST, ["v1", "query"]) => return Ok(Event::ReadCall { id, path: format!("query/{text}") }),
+        (&Method::GET, ["v1", what]) => return Ok(Event::ReadCall { id, path: what.to_string() }),
         (&Method::PUT, ["v1", "config"]) => match crate::fleet::read::read_text(&text) {
             Ok(_) => OperatorCall::ReplaceConfig { base, text },
             Err(bad) => return Err(crate::chain::reply::faults(&bad)),
--- a/src/kernel/event.rs
+++ b/src/kernel/event.rs
@@ -58,7 +58,7 @@
         id: ChangeId,
         op: OperatorCall,
     },
-    OperatorRead {
+    ReadCall {
         id: ChangeId,
         path: String,
     },
@@ -128,7 +128,7 @@
     Leaving(Departure),
     /// Owners of quotas have answered.
     QuotaGranted(Vec<Grant>),
-    TopicUpdate {
+    Topic {
         scope: Scope,
         at: Version,
         slice: Option<Slice>,
@@ -145,7 +145,7 @@
             Event::DutyTick => "work",
             Event::Message { msg, .. } => msg.kind(),
             Event::OperatorCall { .. } => "operator call",
-            Event::OperatorRead { .. } => "operator read",
+            Event::ReadCall { .. } => "operator read",
             Event::RunnerReport { .. } => "runner report",
             Event::OrderAnswered { .. } => "order answer",
             Event::RouterState(_) => "router state",
--- a/src/kernel/hold.rs
+++ b/src/kernel/hold.rs
@@ -92,7 +92,7 @@
     match e {
         Effect::Answer { .. } | Effect::Ready(_) | Effect::RouterCount(_) | Effect::PollRunners(_) => true,
         Effect::Reset(_) | Effect::OrderRunner(_) => true,
-        Effect::Send { msg: Msg::OperatorCall { .. } | Msg::OperatorRead { .. }, .. } => !bare,
+        Effect::Send { msg: Msg::OperatorCall { .. } | Msg::ReadCall { .. }, .. } => !bare,
         _ => false,
     }
 }
--- a/src/kernel/lanes.rs
+++ b/src/kernel/lanes.rs
@@ -79,7 +79,7 @@
         Event::NameWanted(_) => Class::droppable(Lane::Deferrable),
         Event::Start | Event::Tick | Event::Journal(_) => Class::kept(Lane::Chain),
         Event::OperatorCall { .. }
-        | Event::OperatorRead { .. }
+        | Event::ReadCall { .. }
         | Event::QuotaWanted(_)
         | Event::StopAnnounced => Class::kept(Lane::Serving),
     }
--- a/src/kernel/log_format.rs
+++ b/src/kernel/log_format.rs
@@ -58,7 +58,7 @@
 /// One batch, as it stands at this offset of the file of this generation.
 pub fn batch(generation: u64, at: u64, records: &[Record]) -> Vec<u8> {
     let mut raw = wire::encode_frame(&bitcode::encode(records));
-    mix(&mut raw[..wire::HEADER_LEN], generation, at);
+    mix(&mut raw[..wire::FRAME_HEADER_LEN], generation, at);
     raw
 }
 
@@ -120,11 +120,11 @@
 }
 
 fn frame_at(generation: u64, raw: &[u8], at: usize) -> Option<(&[u8], usize)> {
-    let mut head: [u8; wire::HEADER_LEN] = raw.get(at..at + wire::HEADER_LEN)?.try_into().ok()?;
+    let mut head: [u8; wire::FRAME_HEADER_LEN] = raw.get(at..at + wire::FRAME_HEADER_LEN)?.try_into().ok()?;
     mix(&mut head, generation, at as u64);
     let len = wire::body_len(&head, wire::MAX_DISK_BODY).ok()?;
-    let body = raw.get(at + wire::HEADER_LEN..at + wire::HEADER_LEN + len)?;
-    Some((wire::checked_body(&head, body).ok()?, wire::HEADER_LEN + len))
+    let body = raw.get(at + wire::FRAME_HEADER_LEN..at + wire::FRAME_HEADER_LEN + len)?;
+    Some((wire::checked_body(&head, body).ok()?, wire::FRAME_HEADER_LEN + len))
 }
 
 /// Looks at each offset once. A body is read only behind a head with a sound checksum of its length, and such
--- a/src/msg.rs
+++ b/src/msg.rs
@@ -78,7 +78,7 @@
         attempt: u64,
         answer: Answer,
     },
-    OperatorRead {
+    ReadCall {
         attempt: u64,
         path: String,
     },
@@ -118,7 +118,7 @@
             Msg::ServingLeaseRequest(_) => "serving lease request",
             Msg::ServingLeaseGrant(_) => "serving lease grant",
             Msg::OperatorCall { .. } | Msg::CallPending { .. } | Msg::CallAnswer { .. } => "passed call",
-            Msg::OperatorRead { .. } | Msg::ReadAnswer { .. } => "passed read",
+            Msg::ReadCall { .. } | Msg::ReadAnswer { .. } => "passed read",
             Msg::RouterReport(_) => "tell",
             Msg::RequestUpdates => "nudge",
             Msg::UnmetDemand(_) => "want",
--- a/src/placement/duty.rs
+++ b/src/placement/duty.rs
@@ -7,7 +7,7 @@
 use super::uses::Usage;
 use super::wants::Wanted;
 use crate::daemon::assemble::Policy;
-use crate::distribution::Reader;
+use crate::distribution::TopicReader;
 use crate::distribution::reader::Topic;
 use crate::fleet::plan::{PlacementPlan, PlanStep};
 use crate::fleet::runner::{Runner, RunnerReport};
@@ -26,7 +26,7 @@
 pub const REPORT: Span = Span::ms(2500);
 
 pub struct Placement {
-    pub reader: Reader,
+    pub reader: TopicReader,
     pub slice: Option<Arc<DutySlice>>,
     /// The places of the runners in the slice.
     pub(super) places: BTreeMap<Name, usize>,
@@ -79,7 +79,7 @@
 
 impl Placement {
     pub fn new(now: Time, policy: Policy) -> Placement {
-        let mut reader = Reader::new(now);
+        let mut reader = TopicReader::new(now);
         reader.topics.insert(Scope::Duty, Topic::default());
         Placement {
             reader,
@@ -194,7 +194,7 @@
                 }
             }
             Event::Message { msg: Msg::UpdateReply { nonce, items }, .. } => {
-                for l in self.reader.told(*nonce, items) {
+                for l in self.reader.handle_reply(*nonce, items) {
                     if let Some(Slice::Duty(s)) = l.slice {
                         let s = *s;
                         let list = self.reporting(&s).cloned().collect();
--- a/src/placement/holder.rs
+++ b/src/placement/holder.rs
@@ -75,8 +75,8 @@
         }
         self.asked = ctx.now;
         let Some(tail) = ctx.views.view.as_ref().and_then(|v| v.tail()) else { return };
-        let nonce = self.reader.ask(ctx.now);
-        let have = vec![(Scope::Duty, self.reader.have(&Scope::Duty))];
+        let nonce = self.reader.start_request(ctx.now);
+        let have = vec![(Scope::Duty, self.reader.known_version(&Scope::Duty))];
         ctx.send(tail, Msg::UpdateRequest { nonce, direct: true, have });
     }
 }
--- a/src/platform/operator.rs
+++ b/src/platform/operator.rs
@@ -7,7 +7,7 @@
 use crate::kernel::fault::Fault;
 use crate::kernel::ids::{ChangeId, DocumentDigest};
 use crate::msg::{Answer, Event, OperatorCall};
-use crate::protocol::{OperatorProtocol, OperatorRequest};
+use crate::protocol::{OperatorProtocol, ParsedCall};
 
 /// What the settings say of every configuration: the rules' own figures.
 #[derive(Clone, Debug, Default)]
@@ -63,18 +63,18 @@
         path: &str,
         base: Option<&str>,
         text: &str,
-    ) -> Option<OperatorRequest> {
+    ) -> Option<ParsedCall> {
         if path == "/spindledock/ready" && method == "GET" {
-            return Some(OperatorRequest::Ready);
+            return Some(ParsedCall::Ready);
         }
         if path != CONFIG {
             return None;
         }
         if method == "GET" {
-            return Some(OperatorRequest::Event(Box::new(Event::OperatorRead { id, path: "source".into() })));
+            return Some(ParsedCall::Event(Box::new(Event::ReadCall { id, path: "source".into() })));
         }
         if method != "PUT" && method != "PATCH" {
-            return Some(OperatorRequest::Bad(Answer::new(
+            return Some(ParsedCall::Bad(Answer::new(
                 405,
                 "bad-order",
                 "GET, PUT or PATCH the configuration",
@@ -83,12 +83,10 @@
         }
         let base = match Precondition::read(base).revision() {
             Ok(base) => base,
-            Err(why) => {
-                return Some(OperatorRequest::Bad(Answer::new(412, "stale-base", &why.to_string(), 0)));
-            }
+            Err(why) => return Some(ParsedCall::Bad(Answer::new(412, "stale-base", &why.to_string(), 0))),
         };
         let op = OperatorCall::PlatformConfig { base, part: method == "PATCH", text: text.to_string() };
-        Some(OperatorRequest::Event(Box::new(Event::OperatorCall { id, op })))
+        Some(ParsedCall::Event(Box::new(Event::OperatorCall { id, op })))
     }
 
     fn status(&self, answer: &Answer) -> u16 {
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -109,7 +109,7 @@
 }
 
 /// What an operator's call asks of this node.
-pub enum OperatorRequest {
+pub enum ParsedCall {
     Ready,
     Event(Box<Event>),
     Bad(Answer),
@@ -124,7 +124,7 @@
         path: &str,
         base: Option<&str>,
         text: &str,
-    ) -> Option<OperatorRequest>;
+    ) -> Option<ParsedCall>;
     /// The id under which a call that is sent again is known: of method, base and text, collision-resistant.
     fn id(&self, method: &str, base: Option<&str>, text: &str) -> ChangeId;
     fn status(&self, answer: &Answer) -> u16;
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -107,7 +107,7 @@
         let attempt = job.attempt;
         let (to, msg) = match &job.call {
             Call::Write(op) => (view.head(), Msg::OperatorCall { id, attempt, op: OperatorCall::clone(op) }),
-            Call::Read(path) => (view.tail(), Msg::OperatorRead { attempt, path: path.clone() }),
+            Call::Read(path) => (view.tail(), Msg::ReadCall { attempt, path: path.clone() }),
         };
         if let Some(to) = to {
             job.sent = Some(ctx.now);
@@ -185,7 +185,7 @@
                 }
                 self.add(*id, Call::Write(Box::new(op.clone())), ctx);
             }
-            Event::OperatorRead { id, path } => self.add(*id, Call::Read(path.clone()), ctx),
+            Event::ReadCall { id, path } => self.add(*id, Call::Read(path.clone()), ctx),
             Event::Message { msg: Msg::CallAnswer { id, attempt, answer }, .. } => {
                 self.write_ended(*id, *attempt, answer, ctx)
             }
--- a/src/sim/check_config.rs
+++ b/src/sim/check_config.rs
@@ -83,12 +83,12 @@
 fn learnt(w: &World, r: &Replay) -> Bad {
     let mut bad = Bad::new();
     for (t, f) in &w.record.rows {
-        let Fact::TopicChange { place, scope, at, config_version, print } = f else { continue };
+        let Fact::Learnt { place, scope, at, config_at, print } = f else { continue };
         if !r.known(*t) || *at == Version(0) || *print == 0 {
             continue;
         }
         let named = scope.strip_prefix("service:");
-        let seen = if named.is_some() { config_version } else { at };
+        let seen = if named.is_some() { config_at } else { at };
         if *seen == Version(0) {
             continue;
         }
--- a/src/sim/check_news.rs
+++ b/src/sim/check_news.rs
@@ -62,7 +62,7 @@
     let mut top: BTreeMap<(usize, String), Version> = BTreeMap::new();
     let mut bad = Bad::new();
     for (_, f) in &w.record.rows {
-        let Fact::TopicChange { place, scope, at, .. } = f else { continue };
+        let Fact::Learnt { place, scope, at, .. } = f else { continue };
         let best = top.entry((*place, scope.clone())).or_default();
         if *at < *best {
             bad.push(format!("5 node {place} slid back from {best} to {at} in {scope}"));
--- a/src/sim/effects.rs
+++ b/src/sim/effects.rs
@@ -27,11 +27,11 @@
                 self.nodes[place].disk.wipe();
                 self.start_node(place);
             }
-            Effect::TopicUpdate { scope, at, slice, proven } => {
+            Effect::Topic { scope, at, slice, proven } => {
                 let now = self.local(place);
-                if let Some((config_version, print)) = slice.as_ref().map(|s| s.fingerprint()) {
+                if let Some((config_at, print)) = slice.as_ref().map(|s| s.fingerprint()) {
                     let scope = scope_name(&scope);
-                    self.note(Fact::TopicChange { place, scope, at, config_version, print });
+                    self.note(Fact::Learnt { place, scope, at, config_at, print });
                 }
                 self.nodes[place].table.clone().learn(now, &scope, at, slice, proven);
             }
--- a/src/sim/record.rs
+++ b/src/sim/record.rs
@@ -70,11 +70,11 @@
         runner: Name,
         place: Option<usize>,
     },
-    TopicChange {
+    Learnt {
         place: usize,
         scope: String,
         at: Version,
-        config_version: Version,
+        config_at: Version,
         print: u64,
     },
     Asking {
--- a/src/sim/shows.rs
+++ b/src/sim/shows.rs
@@ -38,7 +38,7 @@
     pub fn show_at(&mut self, place: usize) {
         let id = self.fresh_id();
         self.shows.insert(id, (place, self.now));
-        self.operate(place, msg::Event::OperatorRead { id, path: "config".into() });
+        self.operate(place, msg::Event::ReadCall { id, path: "config".into() });
     }
 
     pub fn answered(&mut self, id: ChangeId, answer: Answer) {
@@ -68,7 +68,7 @@
         for id in self.unresolved() {
             let ask = self.fresh_id();
             let place = self.routers()[0];
-            self.operate(place, msg::Event::OperatorRead { id: ask, path: format!("change/{id}") });
+            self.operate(place, msg::Event::ReadCall { id: ask, path: format!("change/{id}") });
             if self.answer(ask, Span::ms(4000)).is_none() {
                 continue;
             }
--- a/src/sim/steps.rs
+++ b/src/sim/steps.rs
@@ -34,7 +34,7 @@
             Effect::Rewrite(_) => Some("rewrite"),
             Effect::Answer { .. } => Some("answer"),
             Effect::OrderRunner(_) => Some("drive"),
-            Effect::TopicUpdate { slice: Some(_), .. } => Some("learn"),
+            Effect::Topic { slice: Some(_), .. } => Some("learn"),
             _ => None,
         };
     };
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -11,7 +11,7 @@
 
 pub const MAX_NETWORK_BODY: usize = 32 << 20;
 pub const MAX_DISK_BODY: usize = 64 << 20;
-pub const HEADER_LEN: usize = 12;
+pub const FRAME_HEADER_LEN: usize = 12;
 const PROTOCOL_VERSION: u8 = 4;
 /// A coder that took more than this is not kept for the next envelope.
 const MAX_KEPT_CODER: usize = 64 << 10;
@@ -22,7 +22,7 @@
 }
 
 pub fn encode_frame(body: &[u8]) -> Vec<u8> {
-    let mut raw = Vec::with_capacity(HEADER_LEN + body.len());
+    let mut raw = Vec::with_capacity(FRAME_HEADER_LEN + body.len());
     let len = (body.len() as u32).to_le_bytes();
     raw.extend(len);
     raw.extend((crc32fast::hash(&len) ^ 0x5d1d_10c4).to_le_bytes());
@@ -31,7 +31,7 @@
     raw
 }
 
-pub fn body_len(head: &[u8; HEADER_LEN], most: usize) -> Result<usize, Fault> {
+pub fn body_len(head: &[u8; FRAME_HEADER_LEN], most: usize) -> Result<usize, Fault> {
     let word = |n: usize| u32::from_le_bytes(head[n..n + 4].try_into().expect("four bytes"));
     let len = word(0) as usize;
     if crc32fast::hash(&head[..4]) ^ 0x5d1d_10c4 != word(4) {
@@ -54,7 +54,7 @@
     Ok(len)
 }
 
-pub fn checked_body<'a>(head: &[u8; HEADER_LEN], body: &'a [u8]) -> Result<&'a [u8], Fault> {
+pub fn checked_body<'a>(head: &[u8; FRAME_HEADER_LEN], body: &'a [u8]) -> Result<&'a [u8], Fault> {
     let sum = u32::from_le_bytes(head[8..12].try_into().expect("four bytes"));
     if crc32fast::hash(body) != sum {
         return Err(Fault::new(
@@ -69,10 +69,11 @@
 
 pub fn decode_frame(raw: &[u8], most: usize) -> Result<(&[u8], usize), Fault> {
     let short = || Fault::new(Kind::Wire, "frame", "it ends early", "none needed");
-    let head: &[u8; HEADER_LEN] = raw.get(..HEADER_LEN).and_then(|h| h.try_into().ok()).ok_or_else(short)?;
+    let head: &[u8; FRAME_HEADER_LEN] =
+        raw.get(..FRAME_HEADER_LEN).and_then(|h| h.try_into().ok()).ok_or_else(short)?;
     let len = body_len(head, most)?;
-    let part = raw.get(HEADER_LEN..HEADER_LEN + len).ok_or_else(short)?;
-    Ok((checked_body(head, part)?, HEADER_LEN + len))
+    let part = raw.get(FRAME_HEADER_LEN..FRAME_HEADER_LEN + len).ok_or_else(short)?;
+    Ok((checked_body(head, part)?, FRAME_HEADER_LEN + len))
 }
 
 /// The frame of an envelope: its edition, who sends it to whom, and its message.
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -47,7 +47,7 @@
 
 fn read(o: &mut Office, place: usize) -> Option<Answer> {
     let id = ChangeId::random(&mut o.w.rand);
-    o.w.operate(place, Event::OperatorRead { id, path: "source".into() });
+    o.w.operate(place, Event::ReadCall { id, path: "source".into() });
     o.w.answer(id, ASKED_EACH)?;
     o.w.answers.get(&id).cloned()
 }
--- a/tests/common/adopt.rs
+++ b/tests/common/adopt.rs
@@ -9,7 +9,7 @@
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::Deployment;
 use spindledock::msg::{Answer, Event, OperatorCall};
-use spindledock::protocol::{OperatorProtocol, OperatorRequest};
+use spindledock::protocol::{OperatorProtocol, ParsedCall};
 use spindledock::sim::World;
 use spindledock::sim::record::Fact;
 use std::collections::BTreeMap;
@@ -19,14 +19,7 @@
 pub struct Lines;
 
 impl OperatorProtocol for Lines {
-    fn read_request(
-        &self,
-        _: ChangeId,
-        _: &str,
-        _: &str,
-        _: Option<&str>,
-        _: &str,
-    ) -> Option<OperatorRequest> {
+    fn read_request(&self, _: ChangeId, _: &str, _: &str, _: Option<&str>, _: &str) -> Option<ParsedCall> {
         None
     }
 
@@ -208,7 +201,7 @@
         for (t, f) in &self.w.record.rows {
             match f {
                 Fact::Up { place } => drop(seen.remove(place)),
-                Fact::TopicChange { place, scope, print, .. } if scope == "routes" => {
+                Fact::Learnt { place, scope, print, .. } if scope == "routes" => {
                     let Some(step) = taken.iter().position(|r| r.1 == *print) else {
                         bad.push(format!("node {place} learnt at {t:?} what was never taken"));
                         continue;
--- a/tests/cut_off.rs
+++ b/tests/cut_off.rs
@@ -92,7 +92,7 @@
     fn read(&mut self) {
         let id = self.office.w.fresh_id();
         self.questions.push(Question { id, at: self.office.w.now, newest: self.newest, base: None });
-        self.office.w.operate(self.lost, Event::OperatorRead { id, path: "source".into() });
+        self.office.w.operate(self.lost, Event::ReadCall { id, path: "source".into() });
     }
 
     /// A change on the newest revision, sent to the lost member. It leaves everything as it is.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -51,7 +51,7 @@
 fn spread(w: &World, name: &str, from: Time) -> (usize, Span) {
     let mut first: BTreeMap<usize, Time> = BTreeMap::new();
     for (t, f) in w.record.rows.iter().filter(|r| r.0 >= from) {
-        if let Fact::TopicChange { place, scope, .. } = f
+        if let Fact::Learnt { place, scope, .. } = f
             && scope == name
         {
             first.entry(*place).or_insert(*t);
--- a/tests/input_queue.rs
+++ b/tests/input_queue.rs
@@ -82,7 +82,7 @@
 fn given_a_full_deferrable_lane_when_an_operator_reads_then_nothing_goes_before_it() {
     let mut before = Before::default();
     (0..2 * LANE_LIMIT as u64).for_each(|n| before.add(tell(n, 1)));
-    before.add(Event::OperatorRead { id: ChangeId::default(), path: "source".into() });
+    before.add(Event::ReadCall { id: ChangeId::default(), path: "source".into() });
     assert_eq!(before.next().map(|next| next.item.kind()), Some("operator read"));
 }
 
@@ -141,7 +141,7 @@
     before.add(tell(1, 1));
     let mut turns = 0;
     loop {
-        before.add(Event::OperatorRead { id: ChangeId::default(), path: "source".into() });
+        before.add(Event::ReadCall { id: ChangeId::default(), path: "source".into() });
         turns += 1;
         let next = before.next().expect("something waits");
         if next.lane == Lane::Deferrable {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -65,7 +65,7 @@
         assert_eq!(view(&w, n).as_ref(), Some(&before), "nobody is left out of the view");
     }
     let id = w.fresh_id();
-    w.operate(0, Event::OperatorRead { id, path: "config".into() });
+    w.operate(0, Event::ReadCall { id, path: "config".into() });
     assert_eq!(w.answer(id, Span::ms(1000)), Some(200), "the configuration comes back");
     sound(&w);
 }
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -24,7 +24,7 @@
 
 fn show(w: &mut World, place: usize) -> String {
     let id = w.fresh_id();
-    w.operate(place, Event::OperatorRead { id, path: "plan".into() });
+    w.operate(place, Event::ReadCall { id, path: "plan".into() });
     assert_eq!(w.answer(id, Span::ms(4000)), Some(200));
     w.answers[&id].body.clone()
 }
--- a/tests/platform_precondition.rs
+++ b/tests/platform_precondition.rs
@@ -3,17 +3,17 @@
 use spindledock::kernel::ids::ChangeId;
 use spindledock::msg::{Answer, Event, OperatorCall};
 use spindledock::platform::operator::{Figures, Operator};
-use spindledock::protocol::{OperatorProtocol, OperatorRequest};
+use spindledock::protocol::{OperatorProtocol, ParsedCall};
 
 /// The base that a call states, or the status that it gets at once.
 fn base(value: Option<&str>) -> Result<Option<u64>, u16> {
     let side = Operator { figures: Figures::default() };
     match side.read_request(ChangeId::default(), "PUT", "/spindledock/config", value, "{}") {
-        Some(OperatorRequest::Event(event)) => match *event {
+        Some(ParsedCall::Event(event)) => match *event {
             Event::OperatorCall { op: OperatorCall::PlatformConfig { base, .. }, .. } => Ok(base),
             other => panic!("{other:?}"),
         },
-        Some(OperatorRequest::Bad(answer)) => Err(side.status(&answer)),
+        Some(ParsedCall::Bad(answer)) => Err(side.status(&answer)),
         _ => panic!("no wish"),
     }
 }
--- a/tests/redirect.rs
+++ b/tests/redirect.rs
@@ -25,7 +25,7 @@
         }
         w.run_for(CUT);
         let id = w.fresh_id();
-        w.operate(lost, Event::OperatorRead { id, path: "source".into() });
+        w.operate(lost, Event::ReadCall { id, path: "source".into() });
         w.run_for(PATIENCE);
         let answer = &w.answers[&id];
         assert_eq!(answer.status, 503, "{}", answer.body);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -135,7 +135,7 @@
         Msg::OperatorCall { id, attempt: 2, op: OperatorCall::ProposePlan },
         Msg::CallPending { id, attempt: 2 },
         Msg::CallAnswer { id, attempt: 2, answer: answer.clone() },
-        Msg::OperatorRead { attempt: 1, path: "/status".into() },
+        Msg::ReadCall { attempt: 1, path: "/status".into() },
         Msg::ReadAnswer { attempt: 1, answer },
         Msg::RouterReport(Arc::default()),
         Msg::RequestUpdates,
