--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -26,7 +26,7 @@
 in-flight|src/placement/flights.rs|self.rows.at\(&report.instance\).filter\(new\).map\(\|f\| f.mb\).sum\(\)|0|placement in_flight
 store-rate|src/placement/flights.rs|at_once.min\(self.pacer.left\(rule\).max\(0.0\) as u64\)|at_once|must_never_too never_overrun
 sync-first|src/kernel/hold.rs|if self.queue.is_empty\(\) \{|if true {|news before_it_is_synced
-compare-swap|src/fleet/fold.rs|if base != self.config_at|if false|order_identity whole_configurations_on_one_base
+compare-swap|src/fleet/fold.rs|if base != self.config_version|if false|order_identity whole_configurations_on_one_base
 ready-kept|src/chain/recovery.rs|self.ready_in = Some\(view\)|drop(view)|must_never they_are_kept
 lead-folded|src/chain/installation.rs|self.is_head\(\) && self.committed >= self.lead_from|self.is_head()|lead the_rest_is_kept
 ready-stays|src/chain/installation.rs|went_on && self.ready && view.has\(self.ident\)|false|mend all_the_same
@@ -48,7 +48,7 @@
 panic-ends|src/daemon/panics.rs|unsafe \{ libc::_exit\(PANIC_EXIT\) \}||panics ends_with_a_logged_event
 closed-end|src/forwarding/attempt.rs|end == AnswerEnd::Framed \|\| l.boundary.may_end\(\)|true|platform_stream_end may_not_be_resumed
 unplaced|src/forwarding/resume.rs|\(self.order.resumable && !self.unplaced\)|(self.order.resumable)|platform_stream_end without_ids
-withdrawn-room|src/placement/distrust.rs|let known: Option<u64> = names.map\(\|name\| config.most_mb\(name\)\).sum\(\);\s+known.unwrap_or\(report.room_mb\)|names.filter_map(\|name\| config.weight(name)).sum()|withdrawn over_its_room
+withdrawn-room|src/placement/distrust.rs|let known: Option<u64> = names.map\(\|name\| config.max_mb\(name\)\).sum\(\);\s+known.unwrap_or\(report.room_mb\)|names.filter_map(\|name\| config.weight(name)).sum()|withdrawn over_its_room
 withdrawn-unload|src/placement/stages.rs|self.retire_withdrawn\(&s, ctx\);||withdrawn over_its_room
 stop-delivered|src/http/client.rs|matches!\(c.phase\(\), Phase::Serving \| Phase::Flushing\) \|\| c.unacknowledged\(\) > 0|matches!(c.phase(), Phase::Serving)|platform_stop handed_over
 stop-lingers|src/http/client.rs|self.all.stopping.load\(Ordering::SeqCst\) && |false && |platform_stop handed_over
@@ -57,7 +57,7 @@
 overdue-room|src/placement/flights.rs|f.overdue \|= !f.answered|f.there \|= !f.answered|placement in_flight
 plan-accept|src/placement/demand.rs|s.config.placement.auto \{ PlanState::Running|true { PlanState::Running|plan version_is_accepted
 plan-allowance|src/placement/drive.rs|if ms > most.ms \|\| tries > most.tries|if false|plan at_its_allowance
-route-again|src/gate/admission.rs|if order.routes_at >= self.routes.0|if true|turn their_route_is_dropped
+route-again|src/gate/admission.rs|if order.routes_version >= self.routes.0|if true|turn their_route_is_dropped
 key-known|src/gate/admission.rs|if credential.is_none\(\) && !row.route.open|if false|platform_keys has_no_known_key
 key-last-check|src/gate/admission.rs|None => Err\(Why::UnknownKey\),|None => Ok(()),|tenants none_begins_after_the_change
 key-passed-on|src/gate/admission.rs|Some\(_\) => Err\(Why::KeyPassedOn\)|Some(_) => Ok(())|tenants none_begins_after_the_change
@@ -68,7 +68,7 @@
 list-step-in|src/runner_list/reader.rs|if age >= self.timing.patience\(0, 1\) && age >= self.patience\(ctx\) \{|if false {|runner_list cut_off_from_the_list
 list-mark|src/runner_list/reader.rs|\.filter\(\|r\| r.leaving\)|.filter(\|_\| false)|runner_list held_up_by_slow_disks
 mark-gossip|src/gate/sweep.rs|h.leaving = true;\s+g.wake\(now\);|g.wake(now);|leaving tells_only_it
-refused-in-force|src/fleet/fold.rs|return self.end\(id, OutcomeCode::RehearsalFailed|self.config = *t.config; self.config_at = self.at; self.touch(Scope::Routes); return self.end(id, OutcomeCode::RehearsalFailed|rehearse live_orders
+refused-in-force|src/fleet/fold.rs|return self.end\(id, OutcomeCode::RehearsalFailed|self.config = *t.config; self.config_version = self.at; self.touch(Scope::Routes); return self.end(id, OutcomeCode::RehearsalFailed|rehearse live_orders
 restart-credit|src/gate/budget.rs|credit: 0.0|credit: 10.0|tries restarts
 saved-credit|src/gate/budget.rs|self.share.max\(LEAST as f64\)|500.0|tries quiet_time
 round-pace|src/placement/quick.rs|if now.since\(self.work.last_round\) < gap|if false|grown holder_orders_soon
@@ -77,7 +77,7 @@
 distrust|src/placement/look.rs|self.distrust.failed\(runner, ctx.now\);||liar serve_on
 read-index|src/chain/read_index.rs|return self.arrived\(from, id, attempt, op, ctx\)|return self.decide(from, id, attempt, op, ctx)|cut_off nothing_old_is_said
 lease-release|src/chain/reply.rs|decision.taken_at\(\).is_none_or\(\|at\| at <= views.released\)|true|dark_core acknowledgement_waits
-lease-unknown|src/chain/serving_leases.rs|ctx.now \+ ctx.me.lease \+ LEASE;|ctx.now;|dark_core core_restarts
+lease-unknown|src/chain/serving_leases.rs|ctx.now \+ ctx.me.serving_lease \+ LEASE;|ctx.now;|dark_core core_restarts
 lease-ledger|src/chain/serving_leases.rs|rows.iter\(\).for_each\(\|a\| self.record\(a, ctx\)\);||dark_core new_tail_waits
 lease-newest|src/chain/serving_leases.rs|if self.history.is_newest\(&a.request.versions\)|if true|dark_core acknowledgement_waits
 vote-when-ready|src/chain/view.rs|next.chain.push\(new\);|next.chain.push(new); next.give_vacant_votes(&[new]);|second_loss lost_for_good_at_once
@@ -113,7 +113,7 @@
 interim|src/http/exchange.rs|if self.response.status\(\).is_informational\(\)|if false|platform_connection interim_status
 no-resend|src/http/attempt.rs|Err\(SendError::NotSent\) if used|Err(SendError::NotSent \| SendError::Unsure) if used|platform_gone after_a_request_came
 once-after-reset|src/forwarding/resume.rs|        \(self.order.resumable && !self.unplaced\) \|\| \(self|        true \|\| (self|platform_cuts_runner may_run_once
-own-id|src/platform/runner.rs|if other \{\s+return Verdict::Stray;|if false { return Verdict::Stray;|platform_links surplus_answer
+own-id|src/platform/runner.rs|if other \{\s+return ResponseOrigin::Stray;|if false { return ResponseOrigin::Stray;|platform_links surplus_answer
 deadline-left|src/http/attempt.rs|job.order.end.since\(job.clock.now\(\)\)|job.order.aim|platform_links told_what_is_left
 caller-gone|src/http/forward.rs|_ = gone\(&mut c.first, &c.body\) => In::Gone,||platform_gone caller_that_leaves
 whole-by|src/forwarding/migration.rs|self.order.whole_by.is_some_and|None::<Time>.is_some_and|platform_gone answer_that_has_begun
@@ -139,7 +139,7 @@
 runtime-turn|src/daemon/driver.rs|if self.clock.now\(\) >= turn_due \{|if false {|runtime_turns leave_all_the_same
 tell-pace|src/placement/push.rs|match router_count\(ctx.views\)|match self.tells.len()|placement_steps few_times_a_second
 round-half|src/placement/round.rs|else \{ round.half\(\) \}|else { Reserve::default() }|placement_shares for_the_names
-outcomes-kept|src/kernel/lanes.rs|Event::Report \{ .. \} \| Event::Ordered \{ .. \} => Class::kept|Event::Report { .. } \| Event::Ordered { .. } => Class::droppable|input_queue may_be_lost_goes
+outcomes-kept|src/kernel/lanes.rs|Event::RunnerReport \{ .. \} \| Event::OrderAnswered \{ .. \} => Class::kept|Event::RunnerReport { .. } \| Event::OrderAnswered { .. } => Class::droppable|input_queue may_be_lost_goes
 live-orders-kept|src/kernel/lanes.rs|replaceable: tell.live.is_empty\(\)|replaceable: true|input_queue not_lost_and_order_is_kept
 bulk-behind|src/kernel/input_queue.rs|LANES.into_iter\(\).find\(waits\)|LANES.into_iter().rev().find(waits)|links it_goes_out_first
 quota-asked|src/http/quota.rs|if tenant.quota.is_none\(\)|if true|quota_request gets_429
@@ -149,7 +149,7 @@
 quota-lease|src/constraints/tenant_share.rs|self.tokens.retain\(\|tokens\| now < tokens.valid_until\);||quota_share lease_has_run_out
 quota-missed-view|src/constraints/counters.rs|old.filter\(\|old\| old.no.next\(\) == view.no\)|old|quota_owner missed_a_view
 quota-handed-once|src/constraints/handover.rs|self.given_up.remove\(tenant\)\?|*self.given_up.get(tenant)?|quota_owner goes_on_with_its_count
-quota-limits-known|src/constraints/owner.rs| && config_at == ctx.views.state.config_at||quota_owner older_limits_than_the_tail
+quota-limits-known|src/constraints/owner.rs| && config_version == ctx.views.state.config_version||quota_owner older_limits_than_the_tail
 quota-tail-lease|src/constraints/authority.rs| && ctx.now < role.until||quota_owner tail_without_its_lease
 R
 }
