--- a/src/chain/acceptor.rs
+++ b/src/chain/acceptor.rs
@@ -6,7 +6,7 @@
 #![deny(missing_docs)]
 
 use super::core::{Chain, SILENCE_LIMIT};
-use super::heartbeat::ROOM_TO_WRITE;
+use super::heartbeat::MIN_WRITE_BYTES;
 use super::view::View;
 use super::view_change::PROPOSAL_TIMEOUT;
 use crate::kernel::component::Context;
@@ -18,12 +18,12 @@
 /// How long after a promise no lease is granted, so that the proposal comes through.
 const GRANT_PAUSE: Span = Span::ms(1000);
 /// From this silence on, a member counts as lost also for a voter that still hears it.
-const CERTAIN_LOSS: Span = Span::ms(1000);
+const CERTAIN_LOSS_SILENCE: Span = Span::ms(1000);
 /// How long an `Accept` that waits for a lease to run out is kept.
-const DEFERRED_KEPT: Span = Span::ms(2000);
+const DEFERRED_TIMEOUT: Span = Span::ms(2000);
 /// A voter that accepted a view and sees no decision finishes the agreement after this wait, plus a random part.
 const FINISH_AFTER: Span = Span::ms(500);
-const FINISH_SPREAD_MS: u64 = 700;
+const FINISH_JITTER_MS: u64 = 700;
 
 /// A view that was accepted, and under which ballot.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
@@ -107,39 +107,39 @@
 
 impl Chain {
     /// Answers a proposer's `Prepare`.
-    pub fn prepare_asked(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
+    pub fn on_prepare(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
         let ChainMsg::Prepare { no, ballot, lost, quiet } = msg else { return };
-        if *lost == Some(self.ident) {
+        if *lost == Some(self.node_id) {
             self.return_lease(*no, ctx);
         }
-        if self.votes_on(from, *no, ctx) && self.believes_lost(*lost, *quiet, ctx.now) {
+        if self.can_vote_on(from, *no, ctx) && self.believes_lost(*lost, *quiet, ctx.now) {
             self.promise(from, *no, *ballot, ctx);
         }
     }
 
     /// Answers a proposer's `Accept`, perhaps later.
-    pub fn accept_asked(&mut self, from: NodeId, ballot: Ballot, view: &View, ctx: &mut Context) {
-        if self.votes_on(from, view.no, ctx) {
+    pub fn on_accept(&mut self, from: NodeId, ballot: Ballot, view: &View, ctx: &mut Context) {
+        if self.can_vote_on(from, view.no, ctx) {
             self.accept_or_defer(from, AcceptedView { ballot, view: view.clone() }, ctx);
         }
     }
 
     /// Whether this node has a vote on view `no` and can sync it; who asks about a view already decided is told it.
-    fn votes_on(&mut self, from: NodeId, no: ViewNo, ctx: &mut Context) -> bool {
+    fn can_vote_on(&mut self, from: NodeId, no: ViewNo, ctx: &mut Context) -> bool {
         let Some(view) = self.view.clone() else { return false };
         if no <= view.no {
             ctx.chain(from, ChainMsg::ViewDecided { view });
             return false;
         }
-        no == view.no.next() && view.voters.contains(&self.ident) && ctx.free_disk_bytes >= ROOM_TO_WRITE
+        no == view.no.next() && view.voters.contains(&self.node_id) && ctx.free_disk_bytes >= MIN_WRITE_BYTES
     }
 
     /// Whether the member named lost is so for this voter too: unheard here, or by the proposer for long.
     fn believes_lost(&self, lost: Option<NodeId>, quiet: Span, now: Time) -> bool {
         let Some(lost) = lost else { return true };
-        let heard = self.alive_at.get(&lost).copied().unwrap_or_default();
-        let fine = lost == self.ident || now.since(heard) < SILENCE_LIMIT;
-        !fine || quiet >= CERTAIN_LOSS
+        let heard = self.last_alive_at.get(&lost).copied().unwrap_or_default();
+        let fine = lost == self.node_id || now.since(heard) < SILENCE_LIMIT;
+        !fine || quiet >= CERTAIN_LOSS_SILENCE
     }
 
     fn promise(&mut self, from: NodeId, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
@@ -192,15 +192,15 @@
 
     /// Whether a lease that this voter granted, perhaps before a restart, may still be in use.
     fn lease_may_run(&self, now: Time) -> bool {
-        now < self.acceptor.hold || self.in_restart_wait(now)
+        now < self.acceptor.hold || self.is_in_restart_wait(now)
     }
 
     /// Accepts what waited for a lease, once that has run out or was returned.
     pub fn accept_deferred(&mut self, ctx: &mut Context) {
         if !self.lease_may_run(ctx.now)
             && let Some(d) = self.acceptor.deferred.take()
-            && ctx.now.since(d.since) < DEFERRED_KEPT
-            && self.votes_on(d.from, d.proposal.view.no, ctx)
+            && ctx.now.since(d.since) < DEFERRED_TIMEOUT
+            && self.can_vote_on(d.from, d.proposal.view.no, ctx)
         {
             self.accept(d.from, d.proposal, ctx);
         }
@@ -214,7 +214,7 @@
         }
         let Some(accepted) = &self.acceptor.accepted else { return };
         let view = accepted.view.clone();
-        let wait = FINISH_AFTER + Span::ms(ctx.rand.below(FINISH_SPREAD_MS));
+        let wait = FINISH_AFTER + Span::ms(ctx.rand.below(FINISH_JITTER_MS));
         if self.proposal.is_none() && ctx.now.since(self.acceptor.accepted_at) > wait {
             self.acceptor.accepted_at = ctx.now;
             self.propose_view(view, None, Span(0), ctx);
--- a/src/chain/adoption.rs
+++ b/src/chain/adoption.rs
@@ -83,7 +83,7 @@
             _ => self.read_order(order, ctx),
         };
         match step {
-            Step::Answer(_) | Step::Refuse(..) if !ctx.views.role.safe => Step::Wait,
+            Step::Answer(_) | Step::Refuse(..) if !ctx.views.role.can_acknowledge => Step::Wait,
             step => step,
         }
     }
--- a/src/chain/adoption_queue.rs
+++ b/src/chain/adoption_queue.rs
@@ -13,7 +13,7 @@
 use std::sync::OnceLock;
 
 /// How long a router's account of its live routes is used.
-const LIVE_FOR: Span = Span::ms(6000);
+const LIVE_ROUTES_TTL: Span = Span::ms(6000);
 
 /// An order that is to be decided on.
 #[derive(Clone)]
@@ -99,7 +99,7 @@
 
     /// What the candidate would do to the requests that routers took lately. It is told, and refuses nothing.
     pub(super) fn rehearse(&mut self, config: &FleetConfig, current: &FleetConfig, now: Time) -> StageFigure {
-        self.live.retain(|_, account| now.since(account.0) < LIVE_FOR);
+        self.live.retain(|_, account| now.since(account.0) < LIVE_ROUTES_TTL);
         if config.services == current.services {
             return rehearsed("the routes are unchanged".into());
         }
--- a/src/chain/change_queue.rs
+++ b/src/chain/change_queue.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 use super::adoption_queue::AdoptionQueue;
-use super::heartbeat::ROOM;
+use super::heartbeat::NEARLY_FULL_BYTES;
 use super::read_index::ReadIndex;
 use super::reply::{answerable, decided};
 
@@ -111,7 +111,10 @@
     }
 
     fn note_leaving(&mut self, tell: &RouterReport, ctx: &mut Context) {
-        if !ctx.views.role.head || !ctx.views.role.ready || ctx.views.role.copies < ctx.views.role.need {
+        if !ctx.views.role.is_head
+            || !ctx.views.role.is_ready
+            || ctx.views.role.copies < ctx.views.role.copies_needed
+        {
             return;
         }
         self.leaving_submitted.retain(|_, since| ctx.now.since(*since) < RESUBMIT_AFTER);
@@ -143,7 +146,7 @@
                 && state.candidate.as_ref().is_none_or(|candidate| candidate.id != *id)
                 && ctx.now.since(*since) < RESUBMIT_AFTER
         });
-        if ctx.views.role.head {
+        if ctx.views.role.is_head {
             self.work(ctx);
             self.adopt_next(ctx);
         } else {
@@ -163,11 +166,11 @@
 
 /// Why nothing can be written now. It says nothing of the change itself: an earlier try may have been taken.
 fn cannot_write(ctx: &Context) -> Option<Answer> {
-    if ctx.free_disk_bytes < ROOM && !ctx.views.role.spare {
+    if ctx.free_disk_bytes < NEARLY_FULL_BYTES && !ctx.views.role.peers_have_room {
         let text = "the head's disk is nearly full and nothing was written; free room there";
         return Some(Answer::new(507, "disk-full", text, 5));
     }
-    if ctx.views.role.copies < ctx.views.role.need {
+    if ctx.views.role.copies < ctx.views.role.copies_needed {
         return Some(too_few_copies());
     }
     None
--- a/src/chain/core.rs
+++ b/src/chain/core.rs
@@ -24,61 +24,61 @@
     pub view: Option<View>,
     pub log: ReplicationLog,
     pub committed: Version,
-    pub lead_from: Version,
-    pub ready: bool,
-    pub ready_in: Option<ViewNo>,
+    pub inherited_upto: Version,
+    pub is_ready: bool,
+    pub ready_in_view: Option<ViewNo>,
     pub successor: SuccessorProgress,
-    pub alive_at: BTreeMap<NodeId, Time>,
-    pub reached_at: BTreeMap<NodeId, Time>,
+    pub last_alive_at: BTreeMap<NodeId, Time>,
+    pub last_reached_at: BTreeMap<NodeId, Time>,
     pub acceptor: Acceptor,
     pub proposal: Option<ViewProposal>,
     pub lease: Lease,
     pub joiner: Joiner,
     pub founder: Founder,
-    pub beat_at: Time,
-    pub load: Option<Arc<FleetState>>,
-    pub ident: NodeId,
-    pub started: Time,
-    pub ticked: Time,
-    pub isolated: bool,
-    pub viewed: Time,
-    pub chain_synced: Version,
+    pub heartbeat_sent_at: Time,
+    pub restored_state: Option<Arc<FleetState>>,
+    pub node_id: NodeId,
+    pub started_at: Time,
+    pub ticked_at: Time,
+    pub is_isolated: bool,
+    pub view_installed_at: Time,
+    pub successor_synced_to_tail: Version,
     pub peers: BTreeMap<NodeId, PeerState>,
     pub departure: Option<Departure>,
     pub ready_since: Time,
-    pub(super) reported_ready: bool,
+    pub(super) has_reported_ready: bool,
 }
 
 impl Chain {
-    pub fn new(ident: NodeId, records: Vec<Record>, started: Time) -> Chain {
+    pub fn new(node_id: NodeId, records: Vec<Record>, started_at: Time) -> Chain {
         let mut c = Chain {
             fleet: FleetId(0),
             view: None,
             log: ReplicationLog::default(),
             committed: Version(0),
-            lead_from: Version(0),
-            ready: false,
-            ready_in: None,
+            inherited_upto: Version(0),
+            is_ready: false,
+            ready_in_view: None,
             successor: SuccessorProgress::default(),
-            alive_at: BTreeMap::new(),
-            reached_at: BTreeMap::new(),
+            last_alive_at: BTreeMap::new(),
+            last_reached_at: BTreeMap::new(),
             acceptor: Acceptor::default(),
             proposal: None,
             lease: Lease::default(),
             joiner: Joiner::default(),
             founder: Founder::default(),
-            beat_at: Time(0),
-            load: None,
-            ident,
-            started,
-            ticked: started,
-            isolated: false,
-            viewed: started,
-            chain_synced: Version(0),
+            heartbeat_sent_at: Time(0),
+            restored_state: None,
+            node_id,
+            started_at,
+            ticked_at: started_at,
+            is_isolated: false,
+            view_installed_at: started_at,
+            successor_synced_to_tail: Version(0),
             peers: BTreeMap::new(),
             departure: None,
-            ready_since: started,
-            reported_ready: false,
+            ready_since: started_at,
+            has_reported_ready: false,
         };
         for r in records {
             c.restore_record(r);
@@ -87,36 +87,36 @@
     }
 
     pub fn in_chain(&self) -> bool {
-        self.view.as_ref().is_some_and(|v| v.has(self.ident))
+        self.view.as_ref().is_some_and(|v| v.has(self.node_id))
     }
 
     pub fn is_tail(&self) -> bool {
-        self.view.as_ref().is_some_and(|v| v.tail() == Some(self.ident))
+        self.view.as_ref().is_some_and(|v| v.tail() == Some(self.node_id))
     }
 
     pub fn is_head(&self) -> bool {
-        self.view.as_ref().is_some_and(|v| v.head() == Some(self.ident))
+        self.view.as_ref().is_some_and(|v| v.head() == Some(self.node_id))
     }
 
     fn start(&mut self, ctx: &mut Context) {
         if self.fleet != FleetId(0) {
             ctx.publish(JournalEvent::Fleet(self.fleet));
         }
-        if let Some(state) = self.load.take() {
+        if let Some(state) = self.restored_state.take() {
             ctx.publish(JournalEvent::StateLoaded(state));
         }
-        self.lead_from = self.log.last();
+        self.inherited_upto = self.log.last();
         if let Some(view) = self.view.clone() {
             for node in view.all() {
                 self.mark_alive(node, ctx.now);
             }
-            self.ready = view.head() == Some(self.ident) || self.ready_in == Some(view.no);
+            self.is_ready = view.head() == Some(self.node_id) || self.ready_in_view == Some(view.no);
             ctx.publish(JournalEvent::ViewInstalled(view));
             self.commit_if_tail(ctx);
         }
     }
 
-    pub fn trim(&mut self, ctx: &mut Context) {
+    pub fn trim_log(&mut self, ctx: &mut Context) {
         if !self.log.is_trim_due(self.committed) {
             return;
         }
@@ -125,34 +125,36 @@
         ctx.effects.push(Effect::Rewrite(rows));
     }
 
-    fn mail(&mut self, from: NodeId, fleet: FleetId, msg: &ChainMsg, ctx: &mut Context) {
+    fn on_chain_message(&mut self, from: NodeId, fleet: FleetId, msg: &ChainMsg, ctx: &mut Context) {
         self.note_heard(from, msg, ctx.now);
         match msg {
-            ChainMsg::Pledge { fleet, members, sent } => self.pledge(from, *fleet, members, *sent, ctx),
-            ChainMsg::Pledged { fleet, sent } => self.pledged(from, *fleet, *sent, ctx),
-            ChainMsg::Append { view, upto, entries, .. } => self.append(from, *view, *upto, entries, ctx),
-            ChainMsg::Progress { .. } => self.have(from, msg, ctx),
+            ChainMsg::Pledge { fleet, members, sent } => {
+                self.on_pledge_request(from, *fleet, members, *sent, ctx)
+            }
+            ChainMsg::Pledged { fleet, sent } => self.on_pledge_reply(from, *fleet, *sent, ctx),
+            ChainMsg::Append { view, upto, entries, .. } => self.on_append(from, *view, *upto, entries, ctx),
+            ChainMsg::Progress { .. } => self.on_progress(from, msg, ctx),
             ChainMsg::Heartbeat { view, room, leaving, impaired } => {
                 let said = PeerState { impaired: *impaired, room: *room, leaving: *leaving };
-                self.beat(from, *view, said, ctx)
+                self.on_heartbeat(from, *view, said, ctx)
             }
-            ChainMsg::Join { have, following } => self.join_asked(from, *have, *following, ctx),
+            ChainMsg::Join { have, following } => self.on_join(from, *have, *following, ctx),
             ChainMsg::JoinHeard => drop(self.joiner.met.insert(from, ctx.now)),
-            ChainMsg::Snapshot { at, state } => self.snapshot(from, *at, state, ctx),
-            ChainMsg::Follow { entries, .. } => self.follow(from, entries, ctx),
-            ChainMsg::Prepare { .. } => self.prepare_asked(from, msg, ctx),
-            ChainMsg::Accept { ballot, view } => self.accept_asked(from, *ballot, view, ctx),
-            ChainMsg::Promise { no, ballot, accepted } => self.promised(from, *no, *ballot, accepted, ctx),
-            ChainMsg::Accepted { no, ballot } => self.accepted(from, *no, *ballot, ctx),
-            ChainMsg::Nack { no, ballot } => self.nack(*no, *ballot, ctx),
+            ChainMsg::Snapshot { at, state } => self.on_snapshot(from, *at, state, ctx),
+            ChainMsg::Follow { entries, .. } => self.on_catch_up(from, entries, ctx),
+            ChainMsg::Prepare { .. } => self.on_prepare(from, msg, ctx),
+            ChainMsg::Accept { ballot, view } => self.on_accept(from, *ballot, view, ctx),
+            ChainMsg::Promise { no, ballot, accepted } => self.on_promise(from, *no, *ballot, accepted, ctx),
+            ChainMsg::Accepted { no, ballot } => self.on_accepted(from, *no, *ballot, ctx),
+            ChainMsg::Nack { no, ballot } => self.on_nack(*no, *ballot, ctx),
             ChainMsg::ViewDecided { view } => {
                 if self.fleet == fleet && fleet != FleetId(0) {
                     self.install(view.clone(), ctx);
                 }
             }
-            ChainMsg::LeaseRequest { view, sent } => self.lease_requested(from, *view, *sent, ctx),
-            ChainMsg::LeaseGrant { view, sent } => self.lease_granted(from, *view, *sent),
-            ChainMsg::LeaseReturned { view, sent } => self.lease_returned(from, *view, *sent, ctx),
+            ChainMsg::LeaseRequest { view, sent } => self.on_lease_request(from, *view, *sent, ctx),
+            ChainMsg::LeaseGrant { view, sent } => self.on_lease_grant(from, *view, *sent),
+            ChainMsg::LeaseReturned { view, sent } => self.on_lease_returned(from, *view, *sent, ctx),
             ChainMsg::LeaseApplications { .. }
             | ChainMsg::LeaseLedgerRequest { .. }
             | ChainMsg::LeaseLedger { .. }
@@ -174,12 +176,12 @@
             Event::Tick => self.tick(ctx),
             Event::StopAnnounced => self.begin_leaving(ctx),
             Event::Message { from, fleet, msg } => {
-                self.adopt(*fleet, ctx);
+                self.join_fleet(*fleet, ctx);
                 if let Msg::Welcome { empty, .. } = msg {
-                    self.founder.welcome(*from, *empty, ctx.now);
+                    self.founder.on_welcome(*from, *empty, ctx.now);
                 }
                 if let Msg::Chain(msg) = msg {
-                    self.mail(*from, *fleet, msg, ctx);
+                    self.on_chain_message(*from, *fleet, msg, ctx);
                 }
             }
             Event::Journal(JournalEvent::Submitted(change)) => self.submit(change, ctx),
@@ -196,7 +198,7 @@
             ("view", self.view.as_ref().map_or("none".into(), |v| v.to_string())),
             ("synced", self.log.last().to_string()),
             ("committed", self.committed.to_string()),
-            ("ready", self.ready.to_string()),
+            ("ready", self.is_ready.to_string()),
             ("term_left", self.lease.until.since(now).to_string()),
             ("log_rows", self.log.rows().to_string()),
             ("log_bytes", self.log.bytes().to_string()),
--- a/src/chain/founding.rs
+++ b/src/chain/founding.rs
@@ -12,15 +12,15 @@
 use std::collections::BTreeMap;
 
 /// A pledge asked for longer ago than this counts for nothing.
-const STALE: Span = Span::ms(2000);
+const PLEDGE_TTL: Span = Span::ms(2000);
 /// After this silence of its founder a member drops its pledge.
-const GIVE_UP: Span = Span::ms(10_000);
+const FOUNDING_TIMEOUT: Span = Span::ms(10_000);
 /// A controller heard within this span may be a first member.
-const LIVE: Span = Span::ms(1500);
+const LIVE_SILENCE_LIMIT: Span = Span::ms(1500);
 /// Each next candidate waits this much longer before it founds.
-const TURN: Span = Span::ms(3000);
+const CANDIDATE_STEP: Span = Span::ms(3000);
 /// Without news of another controller for this span, fewer members do.
-const CALM: Span = Span::ms(2500);
+const SETTLE_PERIOD: Span = Span::ms(2500);
 
 /// What a node knows of a founding.
 #[derive(Clone, Default)]
@@ -45,19 +45,19 @@
 
 impl Founder {
     /// Notes a seed's answer.
-    pub fn welcome(&mut self, from: NodeId, empty: bool, now: Time) {
+    pub fn on_welcome(&mut self, from: NodeId, empty: bool, now: Time) {
         self.answers.insert(from, (empty, now));
     }
 }
 
 impl Chain {
     /// Takes up the fleet that a message names, unless this node is pledged to found another.
-    pub fn adopt(&mut self, fleet: FleetId, ctx: &mut Context) {
+    pub fn join_fleet(&mut self, fleet: FleetId, ctx: &mut Context) {
         if fleet == FleetId(0) || self.fleet != FleetId(0) {
             return;
         }
         if let Some((mine, members)) = &self.founder.pledge {
-            let founder = members.first() == Some(&self.ident);
+            let founder = members.first() == Some(&self.node_id);
             if *mine != fleet && !founder && mine.0 != 0 {
                 return;
             }
@@ -68,23 +68,23 @@
         ctx.log_event("fleet-joined", fleet.to_string());
     }
 
-    fn seeds_empty(&self, ctx: &Context) -> bool {
+    fn seeds_know_no_fleet(&self, ctx: &Context) -> bool {
         let seen = |addr: &std::net::SocketAddr| {
             let Some(row) = ctx.views.members.iter().find(|r| r.who.addr == *addr) else { return false };
             let got = self.founder.answers.get(&row.who.node);
-            got.is_some_and(|(empty, at)| *empty && ctx.now.since(*at) < Span(STALE.0 * 3))
+            got.is_some_and(|(empty, at)| *empty && ctx.now.since(*at) < Span(PLEDGE_TTL.0 * 3))
         };
         (ctx.me.is_seed || !ctx.me.seeds.is_empty()) && ctx.me.seeds.iter().all(seen)
     }
 
-    fn members(&self, ctx: &Context) -> Option<Vec<NodeId>> {
+    fn first_members(&self, ctx: &Context) -> Option<Vec<NodeId>> {
         let me = ctx.me;
         let seed = |r: &Row| r.who.addr == me.addr || me.seeds.contains(&r.who.addr);
-        let live = ctx.views.controllers().filter(|r| r.quiet < LIVE);
+        let live = ctx.views.controllers().filter(|r| r.quiet < LIVE_SILENCE_LIMIT);
         let mut all: Vec<(bool, NodeId)> =
             live.map(|r| (me.core_size == 0 && !seed(r), r.who.node)).collect();
         all.sort();
-        let calm = ctx.now.since(self.founder.grown.max(me.started)) >= CALM;
+        let calm = ctx.now.since(self.founder.grown.max(me.started)) >= SETTLE_PERIOD;
         let whole = all.len() == ctx.views.controllers().count();
         if me.core_size == 0 && !me.is_seed && !calm {
             return None;
@@ -95,8 +95,8 @@
         let seeds = all.iter().filter(|r| !r.0).count();
         all.truncate(if me.core_size > 0 { me.core_size } else { me.voter_count().max(seeds) });
         let mut all: Vec<NodeId> = all.into_iter().map(|r| r.1).collect();
-        let rank = all.iter().position(|n| *n == self.ident)?;
-        let turn = Span(TURN.0 * rank as u64);
+        let rank = all.iter().position(|n| *n == self.node_id)?;
+        let turn = Span(CANDIDATE_STEP.0 * rank as u64);
         if rank > 0 && (me.core_size > 0 || ctx.now.since(self.founder.grown.max(me.started)) < turn) {
             return None;
         }
@@ -105,7 +105,7 @@
     }
 
     /// Asks for pledges, if this node is to found.
-    pub fn found(&mut self, ctx: &mut Context) {
+    pub fn found_fleet(&mut self, ctx: &mut Context) {
         let known = ctx.views.controllers().count();
         if known > self.founder.known {
             self.founder.grown = ctx.now;
@@ -121,22 +121,24 @@
         self.founder.asked = ctx.now;
         if let Some((_, members)) = &self.founder.pledge
             && let Some(first) = members.first()
-            && *first != self.ident
+            && *first != self.node_id
         {
             let quiet = ctx.now.since(self.founder.heard.max(ctx.me.started));
-            if quiet > GIVE_UP {
+            if quiet > FOUNDING_TIMEOUT {
                 self.founder.pledge = None;
                 ctx.save(Record::Pledge { fleet: FleetId(0), members: vec![] });
             }
             return;
         }
-        if !self.seeds_empty(ctx) {
+        if !self.seeds_know_no_fleet(ctx) {
             return;
         }
         let (fleet, members) = match &self.founder.pledge {
-            Some((f, m)) if f.0 != 0 && ctx.now.since(self.founder.began) < GIVE_UP => (*f, m.clone()),
+            Some((f, m)) if f.0 != 0 && ctx.now.since(self.founder.began) < FOUNDING_TIMEOUT => {
+                (*f, m.clone())
+            }
             _ => {
-                let Some(all) = self.members(ctx) else { return };
+                let Some(all) = self.first_members(ctx) else { return };
                 self.founder.began = ctx.now;
                 self.founder.pledges.clear();
                 self.founder.pledge = None;
@@ -149,7 +151,7 @@
     }
 
     /// Answers a founder.
-    pub fn pledge(
+    pub fn on_pledge_request(
         &mut self,
         from: NodeId,
         fleet: FleetId,
@@ -157,12 +159,12 @@
         sent: Time,
         ctx: &mut Context,
     ) {
-        let lowest = members.first() == Some(&from) && members.contains(&self.ident);
-        if self.fleet != FleetId(0) || !lowest || !self.seeds_empty(ctx) {
+        let lowest = members.first() == Some(&from) && members.contains(&self.node_id);
+        if self.fleet != FleetId(0) || !lowest || !self.seeds_know_no_fleet(ctx) {
             return;
         }
         match &self.founder.pledge {
-            Some((f, m)) if f.0 != 0 && *f != fleet && !gives_way(m, from, self.ident) => return,
+            Some((f, m)) if f.0 != 0 && *f != fleet && !yields_pledge(m, from, self.node_id) => return,
             Some((f, _)) if *f == fleet => {}
             _ => {
                 ctx.save(Record::Pledge { fleet, members: members.to_vec() });
@@ -174,13 +176,13 @@
     }
 
     /// Counts a pledge; with all of them the fleet is founded.
-    pub fn pledged(&mut self, from: NodeId, fleet: FleetId, sent: Time, ctx: &mut Context) {
+    pub fn on_pledge_reply(&mut self, from: NodeId, fleet: FleetId, sent: Time, ctx: &mut Context) {
         let Some((mine, members)) = self.founder.pledge.clone() else { return };
-        if mine != fleet || self.fleet != FleetId(0) || members.first() != Some(&self.ident) {
+        if mine != fleet || self.fleet != FleetId(0) || members.first() != Some(&self.node_id) {
             return;
         }
         self.founder.pledges.insert(from, sent);
-        let fresh = |n: &NodeId| self.founder.pledges.get(n).is_some_and(|t| ctx.now.since(*t) < STALE);
+        let fresh = |n: &NodeId| self.founder.pledges.get(n).is_some_and(|t| ctx.now.since(*t) < PLEDGE_TTL);
         if !members.iter().all(fresh) {
             return;
         }
@@ -190,13 +192,13 @@
         ctx.log_event("founded", fleet.to_string());
         let view = View::founded(members.clone(), ctx.me);
         self.install(view.clone(), ctx);
-        for node in members.iter().filter(|n| **n != self.ident) {
+        for node in members.iter().filter(|n| **n != self.node_id) {
             ctx.chain(*node, ChainMsg::ViewDecided { view: view.clone() });
         }
     }
 }
 
-fn gives_way(mine: &[NodeId], from: NodeId, me: NodeId) -> bool {
+fn yields_pledge(mine: &[NodeId], from: NodeId, me: NodeId) -> bool {
     match mine.first() {
         Some(first) if *first == me => from <= me,
         first => first == Some(&from),
--- a/src/chain/installation.rs
+++ b/src/chain/installation.rs
@@ -22,57 +22,58 @@
         self.proposal = None;
         self.lease = Lease::default();
         self.successor = SuccessorProgress::default();
-        self.chain_synced = Version(0);
-        self.viewed = ctx.now;
-        let known = self.view.as_ref().filter(|old| old.has(self.ident)).map_or(vec![], View::all);
+        self.successor_synced_to_tail = Version(0);
+        self.view_installed_at = ctx.now;
+        let known = self.view.as_ref().filter(|old| old.has(self.node_id)).map_or(vec![], View::all);
         for node in view.all().into_iter().filter(|n| !known.contains(n)) {
             self.mark_alive(node, ctx.now);
         }
-        let went_on = self.view.as_ref().is_some_and(|old| old.no.next() == view.no && old.has(self.ident));
-        self.ready = view.head() == Some(self.ident) || (went_on && self.ready && view.has(self.ident));
-        if self.ready {
+        let went_on = self.view.as_ref().is_some_and(|old| old.no.next() == view.no && old.has(self.node_id));
+        self.is_ready =
+            view.head() == Some(self.node_id) || (went_on && self.is_ready && view.has(self.node_id));
+        if self.is_ready {
             self.save_ready(view.no, ctx);
         }
-        self.joiner.stop(view.has(self.ident));
-        self.lead_from = self.log.last();
+        self.joiner.stop(view.has(self.node_id));
+        self.inherited_upto = self.log.last();
         if self.view.is_none() && view.no == ViewNo(1) {
             ctx.publish(JournalEvent::Founded);
         }
         self.view = Some(view.clone());
         ctx.publish(JournalEvent::ViewInstalled(view));
-        self.announce(ctx);
+        self.announce_log_end(ctx);
         self.commit_if_tail(ctx);
     }
 
     /// Records that this member holds all that was committed before view `no`; synced before others hear of it.
     pub fn save_ready(&mut self, no: ViewNo, ctx: &mut Context) {
-        self.ready_in = Some(no);
+        self.ready_in_view = Some(no);
         ctx.save(Record::Ready { view: no });
         ctx.publish(JournalEvent::MemberReady(no));
     }
 
     /// Tells the node's other components what it is in the chain.
     pub fn publish_role(&mut self, ctx: &mut Context) {
-        let post = ChainRole {
-            head: self.is_head() && self.committed >= self.lead_from,
-            tail: self.is_tail(),
-            ready: self.ready,
+        let role = ChainRole {
+            is_head: self.is_head() && self.committed >= self.inherited_upto,
+            is_tail: self.is_tail(),
+            is_ready: self.is_ready,
             copies: self.view.as_ref().map_or(0, |v| v.chain.len()),
-            need: ctx.me.required_copies(),
-            safe: self.safe(ctx),
-            spare: self.spared(ctx),
-            until: if self.is_tail() && self.ready { self.lease.until } else { Time(0) },
-            last: self.log.last(),
+            copies_needed: ctx.me.required_copies(),
+            can_acknowledge: self.has_enough_copies(ctx),
+            peers_have_room: self.peers_have_room(ctx),
+            lease_until: if self.is_tail() && self.is_ready { self.lease.until } else { Time(0) },
+            last_entry: self.log.last(),
             view: self.view.as_ref().map_or(ViewNo(0), |v| v.no),
-            isolated: self.view.is_some() && self.isolated,
+            is_isolated: self.view.is_some() && self.is_isolated,
         };
-        let has_its_vote = |v: &View| self.view_with_my_vote(v, ctx).is_none();
-        let settled = self.reported_ready || self.view.as_ref().is_some_and(has_its_vote);
-        let fit = self.ready && self.in_chain() && settled;
-        if fit != self.reported_ready {
-            self.reported_ready = fit;
+        let has_its_vote = |v: &View| self.view_with_own_vote(v, ctx).is_none();
+        let settled = self.has_reported_ready || self.view.as_ref().is_some_and(has_its_vote);
+        let fit = self.is_ready && self.in_chain() && settled;
+        if fit != self.has_reported_ready {
+            self.has_reported_ready = fit;
             ctx.effects.push(Effect::Ready(fit));
         }
-        ctx.publish(JournalEvent::Role(post));
+        ctx.publish(JournalEvent::Role(role));
     }
 }
--- a/src/chain/join.rs
+++ b/src/chain/join.rs
@@ -2,7 +2,7 @@
 #![deny(missing_docs)]
 
 use super::core::{Chain, SILENCE_LIMIT};
-use super::heartbeat::ROOM_TO_WRITE;
+use super::heartbeat::MIN_WRITE_BYTES;
 use super::replication_log::{Fit, ReplicationLog};
 use crate::fleet::FleetState;
 use crate::kernel::component::Context;
@@ -13,15 +13,15 @@
 use std::sync::Arc;
 
 /// How often a node outside the chain asks to join.
-const ASK_INTERVAL: Span = Span::ms(250);
+const JOIN_INTERVAL: Span = Span::ms(250);
 /// How soon it asks again while members have not answered yet.
-const ASK_SOON: Span = Span::ms(60);
+const JOIN_RETRY: Span = Span::ms(60);
 /// How often a slow disk is tried.
 const DISK_TRIAL_INTERVAL: Span = Span::ms(1000);
 /// A joiner is taken in once it lacks at most so many changes.
-const NEAR: u64 = 8;
+const MAX_LAG: u64 = 8;
 /// Behind by more bytes than this (and than two configurations), a member that joins is sent the snapshot.
-const SNAPSHOT_FROM: usize = 512 << 10;
+const MAX_CATCH_UP_BYTES: usize = 512 << 10;
 
 /// What a node outside the chain remembers of its joining.
 #[derive(Clone, Default)]
@@ -48,14 +48,14 @@
 
 impl Chain {
     /// Asks the tail to be taken in, once all other members are in touch.
-    pub fn join(&mut self, ctx: &mut Context) {
+    pub fn request_join(&mut self, ctx: &mut Context) {
         if self.departure.is_some() {
             return;
         }
-        if self.in_chain() || self.fleet == FleetId(0) || ctx.now.since(self.joiner.asked) < ASK_INTERVAL {
+        if self.in_chain() || self.fleet == FleetId(0) || ctx.now.since(self.joiner.asked) < JOIN_INTERVAL {
             return;
         }
-        if ctx.is_disk_slow || ctx.free_disk_bytes < ROOM_TO_WRITE {
+        if ctx.is_disk_slow || ctx.free_disk_bytes < MIN_WRITE_BYTES {
             return self.try_disk(ctx);
         }
         let Some(view) = ctx.views.view.clone() else { return };
@@ -67,45 +67,45 @@
             ctx.chain(node, ChainMsg::Join { have, following });
         }
         if !all {
-            self.joiner.asked = ctx.now - Span(ASK_INTERVAL.0 - ASK_SOON.0);
+            self.joiner.asked = ctx.now - Span(JOIN_INTERVAL.0 - JOIN_RETRY.0);
         }
     }
 
     fn try_disk(&mut self, ctx: &mut Context) {
         if ctx.now.since(self.joiner.tried) >= DISK_TRIAL_INTERVAL {
             self.joiner.tried = ctx.now;
-            ctx.save(Record::Ident { node: self.ident });
+            ctx.save(Record::Ident { node: self.node_id });
         }
     }
 
     /// Answers a node that wants to join: with a snapshot, changes, or a proposal that takes it in.
-    pub fn join_asked(&mut self, from: NodeId, have: Version, following: bool, ctx: &mut Context) {
+    pub fn on_join(&mut self, from: NodeId, have: Version, following: bool, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
         if !self.is_tail() || view.has(from) {
             ctx.chain(from, ChainMsg::JoinHeard);
             return ctx.chain(from, ChainMsg::ViewDecided { view });
         }
-        if !self.ready || ctx.now >= self.lease.until {
+        if !self.is_ready || ctx.now >= self.lease.until {
             return;
         }
         let Some(want) = view.with(from, ctx.me) else { return };
         let cheap =
-            self.log.bytes_after(have) <= SNAPSHOT_FROM.max(2 * ctx.views.state.config.size_estimate());
+            self.log.bytes_after(have) <= MAX_CATCH_UP_BYTES.max(2 * ctx.views.state.config.size_estimate());
         let rows = if following && cheap { self.log.after(have) } else { None };
         let Some(entries) = rows else {
             let state = Box::new(ctx.views.state.clone());
             return ctx.chain(from, ChainMsg::Snapshot { at: self.committed, state });
         };
-        let near = have.0 + NEAR >= self.committed.0;
+        let near = have.0 + MAX_LAG >= self.committed.0;
         ctx.chain(from, ChainMsg::Follow { entries, done: self.committed });
-        if near && self.proposal.is_none() && !self.in_restart_wait(ctx.now) {
+        if near && self.proposal.is_none() && !self.is_in_restart_wait(ctx.now) {
             self.propose_view(want, None, Span(0), ctx);
         }
     }
 
     /// Takes a whole state in place of the own log.
-    pub fn snapshot(&mut self, from: NodeId, at: Version, state: &FleetState, ctx: &mut Context) {
-        let pred = self.view.as_ref().and_then(|v| v.before(self.ident));
+    pub fn on_snapshot(&mut self, from: NodeId, at: Version, state: &FleetState, ctx: &mut Context) {
+        let pred = self.view.as_ref().and_then(|v| v.before(self.node_id));
         if self.in_chain() && (pred != Some(from) || at <= self.log.last()) {
             return;
         }
@@ -123,7 +123,7 @@
     }
 
     /// Takes the changes after the snapshot.
-    pub fn follow(&mut self, from: NodeId, entries: &[Entry], ctx: &mut Context) {
+    pub fn on_catch_up(&mut self, from: NodeId, entries: &[Entry], ctx: &mut Context) {
         let tail = ctx.views.view.as_ref().and_then(|v| v.tail());
         if self.in_chain() || !self.joiner.following || tail != Some(from) {
             return;
--- a/src/chain/lease.rs
+++ b/src/chain/lease.rs
@@ -13,13 +13,13 @@
 use std::collections::BTreeMap;
 
 /// How long a granted lease may be used, counted from its request.
-pub const LEASE: Span = Span::ms(800);
+pub const LEASE_DURATION: Span = Span::ms(800);
 /// How long a voter that granted a lease neither promises nor accepts a view without its holder.
-pub const LEASE_PROMISE: Span = Span::ms(850);
+pub const LEASE_HOLD: Span = Span::ms(850);
 /// How often the tail asks for its lease.
-pub const ASK: Span = Span::ms(200);
+pub const LEASE_RENEW_INTERVAL: Span = Span::ms(200);
 /// A tail that returned its lease asks for none for so long; by then the view has changed, or never will.
-const RETURNED_REST: Span = Span::ms(400);
+const RETURN_BACKOFF: Span = Span::ms(400);
 
 /// The tail's own lease.
 #[derive(Clone, Default)]
@@ -38,11 +38,11 @@
     /// Asks all voters for the lease, if this is the tail and it is time.
     pub fn renew_lease(&mut self, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
-        if !self.is_tail() || !self.ready || self.awaits_first_vote(ctx) {
+        if !self.is_tail() || !self.is_ready || self.awaits_first_vote(ctx) {
             return;
         }
-        let rests = self.lease.returned != Time(0) && ctx.now.since(self.lease.returned) < RETURNED_REST;
-        if rests || ctx.now.since(self.lease.asked) < ASK {
+        let rests = self.lease.returned != Time(0) && ctx.now.since(self.lease.returned) < RETURN_BACKOFF;
+        if rests || ctx.now.since(self.lease.asked) < LEASE_RENEW_INTERVAL {
             return;
         }
         self.lease.asked = ctx.now;
@@ -52,21 +52,21 @@
     }
 
     /// A voter grants the tail its lease, unless a next view is under way.
-    pub fn lease_requested(&mut self, from: NodeId, no: ViewNo, sent: Time, ctx: &mut Context) {
+    pub fn on_lease_request(&mut self, from: NodeId, no: ViewNo, sent: Time, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
-        if view.no != no || view.tail() != Some(from) || !view.voters.contains(&self.ident) {
+        if view.no != no || view.tail() != Some(from) || !view.voters.contains(&self.node_id) {
             return;
         }
-        if self.in_restart_wait(ctx.now) || !self.acceptor.may_grant(ctx.now) {
+        if self.is_in_restart_wait(ctx.now) || !self.acceptor.may_grant(ctx.now) {
             return;
         }
-        self.acceptor.hold = ctx.now + LEASE_PROMISE;
+        self.acceptor.hold = ctx.now + LEASE_HOLD;
         self.acceptor.granted = Some((from, sent));
         ctx.chain(from, ChainMsg::LeaseGrant { view: no, sent });
     }
 
     /// Counts a grant; the lease runs from the latest request that a majority has granted.
-    pub fn lease_granted(&mut self, from: NodeId, no: ViewNo, sent: Time) {
+    pub fn on_lease_grant(&mut self, from: NodeId, no: ViewNo, sent: Time) {
         let Some(view) = &self.view else { return };
         if view.no != no || !self.is_tail() || !view.voters.contains(&from) || sent <= self.lease.returned {
             return;
@@ -77,7 +77,7 @@
         sends.sort();
         sends.reverse();
         if let Some(t) = sends.get(view.majority() - 1) {
-            self.lease.until = self.lease.until.max(*t + LEASE);
+            self.lease.until = self.lease.until.max(*t + LEASE_DURATION);
         }
     }
 
@@ -100,7 +100,7 @@
 
     /// The tail has returned the lease that it asked for at `sent`. Only the very lease that this voter granted last
     /// ends so: a word that comes late says nothing of a later one.
-    pub fn lease_returned(&mut self, from: NodeId, no: ViewNo, sent: Time, ctx: &mut Context) {
+    pub fn on_lease_returned(&mut self, from: NodeId, no: ViewNo, sent: Time, ctx: &mut Context) {
         let current = self.view.as_ref().is_some_and(|view| view.no == no);
         if !current || self.acceptor.granted != Some((from, sent)) {
             return;
@@ -110,7 +110,7 @@
     }
 
     /// Whether this voter may still be bound by a lease that it granted before it was restarted.
-    pub fn in_restart_wait(&self, now: Time) -> bool {
-        now.since(self.started) < LEASE_PROMISE + Span::ms(50)
+    pub fn is_in_restart_wait(&self, now: Time) -> bool {
+        now.since(self.started_at) < LEASE_HOLD + Span::ms(50)
     }
 }
--- a/src/chain/leaving.rs
+++ b/src/chain/leaving.rs
@@ -56,14 +56,14 @@
     }
 
     /// Whether `node` has said that it is about to leave.
-    pub fn leaves(&self, node: NodeId) -> bool {
+    pub fn is_leaving(&self, node: NodeId) -> bool {
         self.peers.get(&node).is_some_and(|p| p.leaving)
     }
 
     /// Proposes the view without this member if the others can go on in it.
     pub fn propose_leaving(&mut self, view: &View, ctx: &mut Context) {
-        let next = self.view_without_me(view, ctx.now);
-        if self.remainder(&next, ctx).others_suffice() {
+        let next = self.view_without_self(view, ctx.now);
+        if self.departure_without_me(&next, ctx).others_suffice() {
             self.propose_view(next, None, Span(0), ctx);
         }
     }
@@ -75,12 +75,12 @@
             return;
         }
         let now = match self.view.clone() {
-            Some(view) if view.has(self.ident) => {
-                let next = self.view_without_me(&view, ctx.now);
-                let rest = self.remainder(&next, ctx);
-                Departure { done: self.nobody_to_wait_for(&view, ctx), ..rest }
+            Some(view) if view.has(self.node_id) => {
+                let next = self.view_without_self(&view, ctx.now);
+                let rest = self.departure_without_me(&next, ctx);
+                Departure { done: self.has_nobody_to_wait_for(&view, ctx), ..rest }
             }
-            Some(view) => Departure { done: true, ..self.remainder(&view, ctx) },
+            Some(view) => Departure { done: true, ..self.departure_without_me(&view, ctx) },
             None => Departure { done: true, ..Departure::default() },
         };
         if now != old {
@@ -90,17 +90,17 @@
         }
     }
 
-    fn view_without_me(&self, view: &View, now: Time) -> View {
+    fn view_without_self(&self, view: &View, now: Time) -> View {
         let mut candidates = view.without_vote();
-        candidates.retain(|n| *n != self.ident && self.stays(view, *n, now));
-        view.without_leaver(self.ident, &candidates)
+        candidates.retain(|n| *n != self.node_id && self.will_stay(view, *n, now));
+        view.without_leaver(self.node_id, &candidates)
     }
 
     /// What stands elsewhere in `next`. All before this member hold what it holds; those behind it have said
     /// what they all hold, and that only once they are ready.
-    fn remainder(&self, next: &View, ctx: &Context) -> Departure {
-        let stay = |n: &&NodeId| self.stays(next, **n, ctx.now);
-        let synced = !self.in_chain() || (self.ready && self.lowest() >= self.committed);
+    fn departure_without_me(&self, next: &View, ctx: &Context) -> Departure {
+        let stay = |n: &&NodeId| self.will_stay(next, **n, ctx.now);
+        let synced = !self.in_chain() || (self.is_ready && self.synced_to_tail() >= self.committed);
         let copies = if synced { next.chain.iter().filter(stay).count() } else { 0 };
         Departure {
             done: false,
@@ -112,21 +112,21 @@
     }
 
     /// Whether `node` is heard and stays. Of two that leave at once the one nearer to the head goes first.
-    fn stays(&self, view: &View, node: NodeId, now: Time) -> bool {
+    fn will_stay(&self, view: &View, node: NodeId, now: Time) -> bool {
         let place = |n: NodeId| self.view.as_ref().and_then(|v| v.chain.iter().position(|c| *c == n));
-        let goes_first = self.leaves(node) && place(node) < place(self.ident);
-        view.has(node) && self.hears(node, now) && !goes_first
+        let goes_first = self.is_leaving(node) && place(node) < place(self.node_id);
+        view.has(node) && self.is_heard(node, now) && !goes_first
     }
 
     /// Whether waiting is of no use: this member holds nothing that the others lack, or no other controller
     /// could take over, as when all are stopped at once.
-    fn nobody_to_wait_for(&self, view: &View, ctx: &Context) -> bool {
-        if !self.ready && !view.voters.contains(&self.ident) {
+    fn has_nobody_to_wait_for(&self, view: &View, ctx: &Context) -> bool {
+        if !self.is_ready && !view.voters.contains(&self.node_id) {
             return true;
         }
-        let all_leave = view.all().iter().all(|n| *n == self.ident || self.leaves(*n));
+        let all_leave = view.all().iter().all(|n| *n == self.node_id || self.is_leaving(*n));
         let outside =
-            |r: &Row| r.who.node != self.ident && !view.has(r.who.node) && r.quiet < SUCCESSOR_HEARD;
+            |r: &Row| r.who.node != self.node_id && !view.has(r.who.node) && r.quiet < SUCCESSOR_HEARD;
         all_leave && !ctx.views.controllers().any(outside)
     }
 }
--- a/src/chain/messages.rs
+++ b/src/chain/messages.rs
@@ -42,7 +42,7 @@
         view: ViewNo,
         synced: Version,
         committed: Version,
-        chain_synced: Version,
+        synced_to_tail: Version,
     },
     Heartbeat {
         view: ViewNo,
@@ -182,17 +182,17 @@
 /// What this node is in the chain at this moment, for its other components.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct ChainRole {
-    pub head: bool,
-    pub tail: bool,
-    pub ready: bool,
+    pub is_head: bool,
+    pub is_tail: bool,
+    pub is_ready: bool,
     pub copies: usize,
-    pub need: usize,
-    pub safe: bool,
-    pub spare: bool,
-    pub until: Time,
-    pub last: Version,
+    pub copies_needed: usize,
+    pub can_acknowledge: bool,
+    pub peers_have_room: bool,
+    pub lease_until: Time,
+    pub last_entry: Version,
     /// The view in which this node holds the role.
     pub view: ViewNo,
     /// No majority of the voters was heard lately.
-    pub isolated: bool,
+    pub is_isolated: bool,
 }
--- a/src/chain/publish.rs
+++ b/src/chain/publish.rs
@@ -6,7 +6,7 @@
 
 impl ChangeQueue {
     pub(super) fn news(&mut self, from: NodeId, nonce: u64, have: &[(Scope, Version)], ctx: &mut Context) {
-        if ctx.now >= ctx.views.role.until {
+        if ctx.now >= ctx.views.role.lease_until {
             let view = ctx.views.view.clone();
             return ctx.send(from, Msg::UpdateRefused { nonce, view });
         }
@@ -15,7 +15,7 @@
     }
 
     pub(super) fn push(&mut self, ctx: &mut Context) {
-        if ctx.now >= ctx.views.role.until {
+        if ctx.now >= ctx.views.role.lease_until {
             return self.source.clear();
         }
         for (to, items) in self.source.pushes(&ctx.views.state, ctx.now) {
--- a/src/chain/read_index.rs
+++ b/src/chain/read_index.rs
@@ -9,7 +9,7 @@
 //! for another member as a change does that was handed to the chain before.
 
 use super::change_queue::{ChangeQueue, queue_full, too_few_copies};
-use super::heartbeat::ROOM;
+use super::heartbeat::NEARLY_FULL_BYTES;
 use super::view::View;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
@@ -19,11 +19,11 @@
 use std::sync::Arc;
 
 /// How long before its caller leaves an order that got no proof is turned away.
-const TURN_AWAY_EARLY: Span = Span::ms(200);
+const REJECT_MARGIN: Span = Span::ms(200);
 /// How often the tail is asked again while orders wait.
 const REQUEST_INTERVAL: Span = Span::ms(100);
 /// Orders that may wait for the proof at a time.
-const MOST_ARRIVALS: usize = 64;
+const MAX_ARRIVALS: usize = 64;
 
 /// An order that has arrived at the head and isn't yet decided on.
 #[derive(Clone)]
@@ -66,7 +66,7 @@
             }
             return true;
         }
-        let room = self.arrivals.len() < MOST_ARRIVALS;
+        let room = self.arrivals.len() < MAX_ARRIVALS;
         if room {
             self.arrivals.push(new);
         }
@@ -86,7 +86,7 @@
 
     fn expired(&mut self, now: Time) -> Vec<Arrival> {
         self.arrivals
-            .extract_if(.., |a| now.since(a.since) + TURN_AWAY_EARLY >= write_patience(&a.op))
+            .extract_if(.., |a| now.since(a.since) + REJECT_MARGIN >= write_patience(&a.op))
             .collect()
     }
 }
@@ -101,11 +101,11 @@
         op: &OperatorCall,
         ctx: &mut Context,
     ) {
-        if !ctx.views.role.head || !ctx.views.role.ready {
+        if !ctx.views.role.is_head || !ctx.views.role.is_ready {
             return;
         }
         let OperatorCall::Internal(change) = op else { return self.arrived(from, id, attempt, op, ctx) };
-        if ctx.free_disk_bytes >= ROOM || ctx.views.role.spare {
+        if ctx.free_disk_bytes >= NEARLY_FULL_BYTES || ctx.views.role.peers_have_room {
             ctx.publish(JournalEvent::Submitted(Arc::new(change.clone())));
         }
     }
@@ -123,8 +123,8 @@
     /// Asks the tail whether the head's view is current; a head that is the tail itself asks its own lease.
     fn request_proof(&mut self, ctx: &mut Context) {
         let role = ctx.views.role;
-        if role.tail {
-            if ctx.now < role.until {
+        if role.is_tail {
+            if ctx.now < role.lease_until {
                 self.read_index.confirmation = Some(Confirmation { sent: ctx.now, committed: Version(0) });
             }
             return self.admit(ctx);
@@ -141,7 +141,7 @@
         if let Some(next) = chain.after(own) {
             return ctx.chain(next, ChainMsg::ReadIndexRequest { view, sent });
         }
-        if let (Some(previous), true) = (chain.before(own), role.tail && ctx.now < role.until) {
+        if let (Some(previous), true) = (chain.before(own), role.is_tail && ctx.now < role.lease_until) {
             let committed = ctx.views.state.at;
             ctx.chain(previous, ChainMsg::ReadIndexReply { view, sent, committed });
         }
@@ -154,7 +154,7 @@
         if let Some(previous) = chain.before(own) {
             return ctx.chain(previous, ChainMsg::ReadIndexReply { view, sent, committed });
         }
-        if role.head && self.read_index.confirmation.as_ref().is_none_or(|c| c.sent < sent) {
+        if role.is_head && self.read_index.confirmation.as_ref().is_none_or(|c| c.sent < sent) {
             self.read_index.confirmation = Some(Confirmation { sent, committed });
             self.admit(ctx);
         }
@@ -182,7 +182,7 @@
 }
 
 fn copies_suffice(ctx: &Context) -> bool {
-    ctx.views.role.copies >= ctx.views.role.need
+    ctx.views.role.copies >= ctx.views.role.copies_needed
 }
 
 /// The answer to an order that got no proof in time.
@@ -196,5 +196,5 @@
 fn proof_view(view: ViewNo, ctx: &Context) -> Option<View> {
     let role = ctx.views.role;
     let current = ctx.views.view.clone().filter(|v| v.no == view && role.view == view);
-    current.filter(|_| !role.isolated)
+    current.filter(|_| !role.is_isolated)
 }
--- a/src/chain/recovery.rs
+++ b/src/chain/recovery.rs
@@ -11,7 +11,7 @@
 impl Chain {
     pub fn restore_record(&mut self, record: Record) {
         match record {
-            Record::Ident { node } => self.ident = node,
+            Record::Ident { node } => self.node_id = node,
             Record::Fleet { fleet } => self.fleet = fleet,
             Record::Pledge { fleet, members } => self.founder.pledge = Some((fleet, members)),
             Record::View { view } => {
@@ -24,22 +24,22 @@
             Record::Snapshot { at, tag, state } => {
                 self.log = ReplicationLog::behind(at, tag);
                 self.committed = at;
-                self.load = Some(Arc::new(*state));
+                self.restored_state = Some(Arc::new(*state));
             }
-            Record::Ready { view } => self.ready_in = Some(view),
+            Record::Ready { view } => self.ready_in_view = Some(view),
             Record::Book { .. } => {}
         }
     }
 
     pub fn records(&self, state: &FleetState) -> Vec<Record> {
-        let mut rows = vec![Record::Ident { node: self.ident }, Record::Fleet { fleet: self.fleet }];
+        let mut rows = vec![Record::Ident { node: self.node_id }, Record::Fleet { fleet: self.fleet }];
         if let Some((fleet, members)) = &self.founder.pledge {
             rows.push(Record::Pledge { fleet: *fleet, members: members.clone() });
         }
         if let Some(view) = &self.view {
             rows.push(Record::View { view: view.clone() });
         }
-        if let Some(view) = self.ready_in {
+        if let Some(view) = self.ready_in_view {
             rows.push(Record::Ready { view });
         }
         rows.extend(self.acceptor.records());
@@ -50,9 +50,9 @@
     }
 }
 
-const LEAP: u64 = 1_000_000;
+const RESTORED_VIEW_STEP: u64 = 1_000_000;
 
-pub struct Copy {
+pub struct StoredCopy {
     pub node: NodeId,
     pub fleet: FleetId,
     pub view: Option<View>,
@@ -60,14 +60,14 @@
     pub config_version: Version,
 }
 
-pub fn inspect(records: &[Record]) -> Copy {
+pub fn inspect_records(records: &[Record]) -> StoredCopy {
     let c = Chain::new(NodeId(0), records.to_vec(), Time(0));
-    let mut state = c.load.as_deref().cloned().unwrap_or_default();
+    let mut state = c.restored_state.as_deref().cloned().unwrap_or_default();
     for e in c.log.iter() {
         state.fold(e.at, &e.change);
     }
-    Copy {
-        node: c.ident,
+    StoredCopy {
+        node: c.node_id,
         fleet: c.fleet,
         view: c.view,
         synced: c.log.last(),
@@ -75,14 +75,14 @@
     }
 }
 
-pub fn restore(records: &[Record]) -> Option<Vec<Record>> {
+pub fn restore_as_only(records: &[Record]) -> Option<Vec<Record>> {
     let mut c = Chain::new(NodeId(0), records.to_vec(), Time(0));
     let old = c.view.clone()?;
-    let me = c.ident;
-    let no = ViewNo(old.no.0 + LEAP);
+    let me = c.node_id;
+    let no = ViewNo(old.no.0 + RESTORED_VIEW_STEP);
     c.acceptor = Acceptor::default();
     c.view = Some(View { no, chain: vec![me], voters: vec![me] });
-    c.ready_in = Some(no);
-    let state = c.load.as_deref().cloned().unwrap_or_default();
+    c.ready_in_view = Some(no);
+    let state = c.restored_state.as_deref().cloned().unwrap_or_default();
     Some(c.records(&state))
 }
--- a/src/chain/replicate.rs
+++ b/src/chain/replicate.rs
@@ -1,7 +1,7 @@
 //! Entries on their way down the chain, and progress on its way up.
 
 use super::core::Chain;
-use super::heartbeat::ROOM_TO_WRITE;
+use super::heartbeat::MIN_WRITE_BYTES;
 use super::replication_log::Fit;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
@@ -58,16 +58,16 @@
     pub fn submit(&mut self, change: &Shared, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
         if !self.is_head()
-            || !self.ready
+            || !self.is_ready
             || view.chain.len() < ctx.me.required_copies()
-            || !self.takes_entries(ctx)
+            || !self.can_append(ctx)
         {
             return;
         }
         let entry = Entry { at: self.log.last().next(), view: view.no, change: change.clone() };
         self.append_entry(entry.clone(), ctx);
         self.commit_if_tail(ctx);
-        if let Some(next) = view.after(self.ident) {
+        if let Some(next) = view.after(self.node_id) {
             self.forward(next, view.no, vec![entry], ctx);
         }
     }
@@ -83,8 +83,8 @@
         ctx.chain(to, ChainMsg::Append { view, first: false, upto, entries });
     }
 
-    fn takes_entries(&self, ctx: &Context) -> bool {
-        ctx.free_disk_bytes >= ROOM_TO_WRITE && !self.log.is_full()
+    fn can_append(&self, ctx: &Context) -> bool {
+        ctx.free_disk_bytes >= MIN_WRITE_BYTES && !self.log.is_full()
     }
 
     pub fn append_entry(&mut self, entry: Entry, ctx: &mut Context) {
@@ -92,25 +92,25 @@
         self.log.push(entry);
     }
 
-    pub fn announce(&mut self, ctx: &mut Context) {
+    pub fn announce_log_end(&mut self, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
-        let Some(next) = view.after(self.ident) else { return };
+        let Some(next) = view.after(self.node_id) else { return };
         let upto = self.log.last();
         ctx.chain(next, ChainMsg::Append { view: view.no, first: true, upto, entries: vec![] });
     }
 
     pub fn report_progress(&mut self, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
-        let Some(prev) = view.before(self.ident) else { return };
+        let Some(prev) = view.before(self.node_id) else { return };
         let (view, synced) = (view.no, self.log.last());
-        let chain_synced = if self.ready { self.lowest() } else { Version(0) };
+        let synced_to_tail = if self.is_ready { self.synced_to_tail() } else { Version(0) };
         let committed = self.committed;
-        ctx.chain(prev, ChainMsg::Progress { view, synced, committed, chain_synced });
+        ctx.chain(prev, ChainMsg::Progress { view, synced, committed, synced_to_tail });
     }
 
-    pub fn append(&mut self, from: NodeId, no: ViewNo, upto: Version, rows: &[Entry], ctx: &mut Context) {
+    pub fn on_append(&mut self, from: NodeId, no: ViewNo, upto: Version, rows: &[Entry], ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
-        if view.no != no || view.before(self.ident) != Some(from) || ctx.free_disk_bytes < ROOM_TO_WRITE {
+        if view.no != no || view.before(self.node_id) != Some(from) || ctx.free_disk_bytes < MIN_WRITE_BYTES {
             return;
         }
         let mut added = Vec::new();
@@ -130,23 +130,23 @@
             }
         }
         let last = self.log.last();
-        if !self.ready && last >= upto {
-            self.ready = true;
+        if !self.is_ready && last >= upto {
+            self.is_ready = true;
             self.ready_since = ctx.now;
             self.save_ready(no, ctx);
             ctx.log_event("chain-ready", format!("{last} in {no}"));
         }
-        if let Some(next) = view.after(self.ident) {
+        if let Some(next) = view.after(self.node_id) {
             self.forward(next, no, added, ctx);
         }
         self.commit_if_tail(ctx);
         self.report_progress(ctx);
     }
 
-    pub fn have(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
-        let ChainMsg::Progress { view: no, synced, committed, chain_synced } = *msg else { return };
+    pub fn on_progress(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
+        let ChainMsg::Progress { view: no, synced, committed, synced_to_tail } = *msg else { return };
         let Some(view) = self.view.clone() else { return };
-        if view.no != no || view.after(self.ident) != Some(from) {
+        if view.no != no || view.after(self.node_id) != Some(from) {
             return;
         }
         if synced > self.log.last() {
@@ -155,7 +155,7 @@
             return;
         }
         self.successor.note_synced(synced, ctx.now);
-        self.chain_synced = self.chain_synced.max(chain_synced);
+        self.successor_synced_to_tail = self.successor_synced_to_tail.max(synced_to_tail);
         self.apply_up_to(committed, ctx);
         if synced == self.log.last() {
             return;
@@ -190,7 +190,7 @@
     }
 
     pub fn commit_if_tail(&mut self, ctx: &mut Context) {
-        if self.is_tail() && self.ready {
+        if self.is_tail() && self.is_ready {
             self.apply_up_to(self.log.last(), ctx);
         }
     }
--- a/src/chain/reply.rs
+++ b/src/chain/reply.rs
@@ -81,5 +81,5 @@
 /// Whether the end may be told: all copies that must be there have it, and a change that was taken is released
 /// (see `serving_leases`).
 pub fn answerable(decision: &Decision, views: &Views) -> bool {
-    views.role.safe && decision.taken_at().is_none_or(|at| at <= views.released)
+    views.role.can_acknowledge && decision.taken_at().is_none_or(|at| at <= views.released)
 }
--- a/src/chain/serving_leases.rs
+++ b/src/chain/serving_leases.rs
@@ -10,7 +10,7 @@
 //! new in the chain, or was restarted, counts all that it can't know as running for a whole lease from then, or
 //! until its predecessor has given it the ledger (`ledger_transfer`).
 
-use super::lease::LEASE;
+use super::lease::LEASE_DURATION;
 use super::ledger_transfer::LedgerRequest;
 use super::version_history::VersionHistory;
 use super::view::View;
@@ -73,7 +73,7 @@
         if !went_on {
             self.holders.clear();
             self.history.clear();
-            self.unknown_until = ctx.now + ctx.me.serving_lease + LEASE;
+            self.unknown_until = ctx.now + ctx.me.serving_lease + LEASE_DURATION;
             self.renew_ledger_request(ctx);
         }
         self.view = inside.then_some(view);
@@ -81,13 +81,13 @@
 
     fn leads(&self, ctx: &Context) -> bool {
         let role = ctx.views.role;
-        role.tail && self.view == Some(role.view) && ctx.now < role.until
+        role.is_tail && self.view == Some(role.view) && ctx.now < role.lease_until
     }
 
     /// The view that this node and its chain agree on. A member that hears no majority stays silent: its letters
     /// would count as signs of life, and it would not be left out.
     pub(super) fn current_view(&self, ctx: &Context) -> Option<View> {
-        if ctx.views.role.isolated {
+        if ctx.views.role.is_isolated {
             return None;
         }
         ctx.views.view.clone().filter(|v| Some(v.no) == self.view && v.no == ctx.views.role.view)
--- a/src/chain/show.rs
+++ b/src/chain/show.rs
@@ -11,7 +11,7 @@
     /// Answers a read at the tail, while a majority of the voters grants its lease; else nothing is said, and
     /// the node that forwarded the read asks the tail of a newer view or tells its caller so.
     pub fn ask(&mut self, from: NodeId, attempt: u64, path: &str, ctx: &mut Context) {
-        if ctx.now < ctx.views.role.until {
+        if ctx.now < ctx.views.role.lease_until {
             let answer = answer(path, ctx.views);
             ctx.send(from, Msg::ReadAnswer { attempt, answer });
         }
--- a/src/chain/version_history.rs
+++ b/src/chain/version_history.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 /// How many sets of versions are remembered.
-const HISTORY: usize = 64;
+const MAX_SETS: usize = 64;
 
 /// The versions of all that routers serve by, and the first version of the chain at which they were that.
 #[derive(Clone)]
@@ -47,7 +47,7 @@
             return;
         }
         self.sets.push_back(VersionSet { from, versions });
-        if self.sets.len() > HISTORY {
+        if self.sets.len() > MAX_SETS {
             self.sets.pop_front();
         }
     }
--- a/src/chain/view_change.rs
+++ b/src/chain/view_change.rs
@@ -17,16 +17,16 @@
 /// A proposal without a decision is given up after this span.
 pub const PROPOSAL_TIMEOUT: Span = Span::ms(1500);
 /// How often `Prepare` is repeated until a majority has promised.
-const PREPARE_AGAIN: Span = Span::ms(200);
+const PREPARE_INTERVAL: Span = Span::ms(200);
 /// Each place in the chain waits this much longer, so that the first live member proposes.
 const RANK_STEP_MS: u64 = 200;
 /// A lost member keeps its vote for this span; then a ready member without one takes it.
-const VOTE_KEPT: Span = Span::ms(1000);
+const VACANT_VOTE_DELAY: Span = Span::ms(1000);
 /// How long a new member puts off asking for a lease while it is given its vote.
-const VOTE_BEFORE_LEASE: Span = Span::ms(500);
+const FIRST_VOTE_WINDOW: Span = Span::ms(500);
 /// After losing to a higher ballot a proposer rests for this span and a random part.
-const REST: Span = Span::ms(100);
-const REST_SPREAD_MS: u64 = 400;
+const BACKOFF: Span = Span::ms(100);
+const BACKOFF_JITTER_MS: u64 = 400;
 
 /// This node's own proposal of the next view.
 #[derive(Clone)]
@@ -55,60 +55,60 @@
 
 impl Chain {
     /// Leaves out members that fell silent; without any, leaves on purpose or takes a vacant vote.
-    pub fn repair(&mut self, ctx: &mut Context) {
+    pub fn repair_view(&mut self, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
-        if !self.in_chain() || !self.ready || !self.hears_majority(ctx.now) {
+        if !self.in_chain() || !self.is_ready || !self.hears_majority(ctx.now) {
             return;
         }
         if self.proposal.is_some() {
-            return self.ask_again(ctx);
+            return self.repeat_prepare(ctx);
         }
         if ctx.now < self.acceptor.rest {
             return;
         }
         if self.awaits_first_vote(ctx) {
-            return self.take_vote(&view, ctx);
+            return self.propose_own_vote(&view, ctx);
         }
-        if self.in_restart_wait(ctx.now) {
+        if self.is_in_restart_wait(ctx.now) {
             return;
         }
         let lost = self.silent_members(&view, ctx.now);
         if !lost.is_empty() {
-            self.leave_out(&view, &lost, ctx);
+            self.propose_without(&view, &lost, ctx);
         } else if self.departure.is_some() {
             self.propose_leaving(&view, ctx);
         } else {
-            self.take_vote(&view, ctx);
+            self.propose_own_vote(&view, ctx);
         }
     }
 
     fn silent_members(&self, view: &View, now: Time) -> Vec<NodeId> {
-        let silent = |n: &NodeId| *n != self.ident && self.quiet(*n, now) >= SILENCE_LIMIT;
+        let silent = |n: &NodeId| *n != self.node_id && self.silence(*n, now) >= SILENCE_LIMIT;
         view.chain.iter().copied().filter(silent).collect()
     }
 
-    fn leave_out(&mut self, view: &View, lost: &[NodeId], ctx: &mut Context) {
-        let longest = lost.iter().map(|n| self.quiet(*n, ctx.now)).max().unwrap_or_default();
+    fn propose_without(&mut self, view: &View, lost: &[NodeId], ctx: &mut Context) {
+        let longest = lost.iter().map(|n| self.silence(*n, ctx.now)).max().unwrap_or_default();
         let next = view.without(lost);
-        let rank = next.chain.iter().position(|n| *n == self.ident).unwrap_or(0) as u64;
+        let rank = next.chain.iter().position(|n| *n == self.node_id).unwrap_or(0) as u64;
         if longest < SILENCE_LIMIT + Span::ms(rank * RANK_STEP_MS) {
             return;
         }
-        if next.head() != view.head() && next.head() != Some(self.ident) {
+        if next.head() != view.head() && next.head() != Some(self.node_id) {
             return;
         }
         self.propose_view(next, lost.first().copied(), longest, ctx);
     }
 
     /// Says `Prepare` again: voters may still hear the member that is to be left out, or not know this view yet.
-    fn ask_again(&mut self, ctx: &mut Context) {
+    fn repeat_prepare(&mut self, ctx: &mut Context) {
         let Some(proposal) = &self.proposal else { return };
         let (no, ballot, lost) = (proposal.no, proposal.ballot, proposal.lost);
-        if proposal.sent || ctx.now.since(proposal.asked) < PREPARE_AGAIN {
+        if proposal.sent || ctx.now.since(proposal.asked) < PREPARE_INTERVAL {
             return;
         }
-        let quiet = lost.map_or(Span(0), |n| self.quiet(n, ctx.now));
-        self.ask(ChainMsg::Prepare { no, ballot, lost, quiet }, ctx);
+        let quiet = lost.map_or(Span(0), |n| self.silence(n, ctx.now));
+        self.send_to_voters(ChainMsg::Prepare { no, ballot, lost, quiet }, ctx);
     }
 
     /// Begins a proposal of `want`. The ballot is saved first; the kernel sends nothing before it is synced.
@@ -118,13 +118,13 @@
             return;
         }
         let round = self.acceptor.top.max(self.acceptor.promised.round) + 1;
-        let ballot = Ballot { round, node: self.ident };
+        let ballot = Ballot { round, node: self.node_id };
         let no = view.no.next();
         self.acceptor.top = round;
         self.acceptor.no = no;
         self.acceptor.promised = ballot;
         ctx.save(Record::Promise { no, ballot });
-        ctx.log_event("proposal", format!("{want} by {}", self.ident));
+        ctx.log_event("proposal", format!("{want} by {}", self.node_id));
         self.proposal = Some(ViewProposal {
             no,
             ballot,
@@ -137,11 +137,11 @@
             lost,
             asked: ctx.now,
         });
-        self.ask(ChainMsg::Prepare { no, ballot, lost, quiet }, ctx);
+        self.send_to_voters(ChainMsg::Prepare { no, ballot, lost, quiet }, ctx);
     }
 
     /// Counts a promise; with a majority of them asks the voters to accept.
-    pub fn promised(
+    pub fn on_promise(
         &mut self,
         from: NodeId,
         no: ViewNo,
@@ -172,7 +172,7 @@
     }
 
     /// Counts an acceptance; with a majority of them the view is decided.
-    pub fn accepted(&mut self, from: NodeId, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
+    pub fn on_accepted(&mut self, from: NodeId, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
         let (Some(view), Some(proposal)) = (self.view.clone(), &mut self.proposal) else { return };
         if proposal.no != no || proposal.ballot != ballot || !view.voters.contains(&from) {
             return;
@@ -187,12 +187,12 @@
         all.extend(decided.all());
         all.sort();
         all.dedup();
-        for node in all.into_iter().filter(|n| *n != self.ident) {
+        for node in all.into_iter().filter(|n| *n != self.node_id) {
             ctx.chain(node, ChainMsg::ViewDecided { view: decided.clone() });
         }
     }
 
-    fn ask(&mut self, msg: ChainMsg, ctx: &mut Context) {
+    fn send_to_voters(&mut self, msg: ChainMsg, ctx: &mut Context) {
         let (Some(view), Some(proposal)) = (&self.view, &mut self.proposal) else { return };
         proposal.asked = ctx.now;
         for node in &view.voters {
@@ -202,22 +202,22 @@
 
     /// A ready member without a vote proposes to take one: a new member at once, others when the lost member has
     /// had time to come back. What makes it ready is synced by then, so its vote can be counted on.
-    fn take_vote(&mut self, view: &View, ctx: &mut Context) {
-        let Some(next) = self.view_with_my_vote(view, ctx) else { return };
+    fn propose_own_vote(&mut self, view: &View, ctx: &mut Context) {
+        let Some(next) = self.view_with_own_vote(view, ctx) else { return };
         let rank = self.vote_candidates(view, ctx.now).len() as u64 - 1;
-        let wait = VOTE_KEPT + Span::ms(rank * RANK_STEP_MS);
-        if self.awaits_first_vote(ctx) || ctx.now.since(self.viewed) >= wait {
+        let wait = VACANT_VOTE_DELAY + Span::ms(rank * RANK_STEP_MS);
+        if self.awaits_first_vote(ctx) || ctx.now.since(self.view_installed_at) >= wait {
             self.propose_view(next, None, Span(0), ctx);
         }
     }
 
     /// The next view in which this member has a vote, if it has none and there is one to take.
-    pub fn view_with_my_vote(&self, view: &View, ctx: &Context) -> Option<View> {
-        if !self.ready || self.departure.is_some() {
+    pub fn view_with_own_vote(&self, view: &View, ctx: &Context) -> Option<View> {
+        if !self.is_ready || self.departure.is_some() {
             return None;
         }
         let candidates = self.vote_candidates(view, ctx.now);
-        if !candidates.contains(&self.ident) {
+        if !candidates.contains(&self.node_id) {
             return None;
         }
         view.with_votes_for(&candidates, ctx.me)
@@ -227,7 +227,8 @@
     /// A member joins only behind a ready one, so with this node all before it are ready.
     pub fn vote_candidates(&self, view: &View, now: Time) -> Vec<NodeId> {
         let place = |n: &NodeId| view.chain.iter().position(|c| c == n);
-        let before = |n: &NodeId| place(n) <= place(&self.ident) && self.hears(*n, now) && !self.leaves(*n);
+        let before =
+            |n: &NodeId| place(n) <= place(&self.node_id) && self.is_heard(*n, now) && !self.is_leaving(*n);
         view.without_vote().into_iter().filter(before).collect()
     }
 
@@ -235,16 +236,16 @@
     /// runs yet that the change of votes would have to wait for, so it asks for its lease only afterwards.
     pub fn awaits_first_vote(&self, ctx: &Context) -> bool {
         let Some(view) = &self.view else { return false };
-        let new = ctx.now.since(self.ready_since) < VOTE_BEFORE_LEASE && !self.reported_ready;
-        new && self.view_with_my_vote(view, ctx).is_some()
+        let new = ctx.now.since(self.ready_since) < FIRST_VOTE_WINDOW && !self.has_reported_ready;
+        new && self.view_with_own_vote(view, ctx).is_some()
     }
 
     /// Gives way to a higher ballot for a while.
-    pub fn nack(&mut self, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
+    pub fn on_nack(&mut self, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
         self.acceptor.top = self.acceptor.top.max(ballot.round);
         if self.proposal.as_ref().is_some_and(|b| b.no == no && b.ballot < ballot) {
             self.proposal = None;
-            self.acceptor.rest = ctx.now + REST + Span::ms(ctx.rand.below(REST_SPREAD_MS));
+            self.acceptor.rest = ctx.now + BACKOFF + Span::ms(ctx.rand.below(BACKOFF_JITTER_MS));
         }
     }
 }
--- a/src/constraints/authority.rs
+++ b/src/constraints/authority.rs
@@ -74,7 +74,7 @@
 /// Whether this node is the tail of the view and may give authority in it.
 pub fn gives_authority(view: ViewNo, ctx: &Context) -> bool {
     let role = ctx.views.role;
-    role.tail && role.view == view && is_current(view, ctx.views) && ctx.now < role.until
+    role.is_tail && role.view == view && is_current(view, ctx.views) && ctx.now < role.lease_until
 }
 
 fn is_current(view: ViewNo, views: &Views) -> bool {
--- a/src/constraints/owner.rs
+++ b/src/constraints/owner.rs
@@ -93,7 +93,7 @@
     fn request_authority(&mut self, ctx: &mut Context) {
         let Some(view) = ctx.views.view.as_ref().filter(|view| view.has(ctx.me.node)) else { return };
         let (Some(tail), no) = (view.tail(), view.no) else { return };
-        if self.counters.has_no_limits() || ctx.views.role.isolated || !self.authority.renews(ctx.now) {
+        if self.counters.has_no_limits() || ctx.views.role.is_isolated || !self.authority.renews(ctx.now) {
             return;
         }
         if tail == ctx.me.node {
--- a/src/daemon/restore.rs
+++ b/src/daemon/restore.rs
@@ -1,5 +1,5 @@
 use super::config::NodeConfig;
-use crate::chain::recovery::{inspect, restore};
+use crate::chain::recovery::{inspect_records, restore_as_only};
 use crate::kernel::disk::{Disk, LogFile};
 use std::process::ExitCode;
 
@@ -20,7 +20,7 @@
     let dir = c.data.as_ref().ok_or("only a controller has a data folder; run this there")?;
     let mut disk = LogFile::open(dir).map_err(|f| f.to_string())?;
     let records = disk.load().map_err(|f| f.to_string())?;
-    let copy = inspect(&records);
+    let copy = inspect_records(&records);
     let view = copy.view.as_ref().map_or("none".to_string(), |v| v.to_string());
     let text = format!(
         "node={} fleet={} view={view} version={} configuration={}",
@@ -29,7 +29,7 @@
     if !write {
         return Ok(text);
     }
-    let rows = restore(&records).ok_or("this folder holds no view; take another copy")?;
+    let rows = restore_as_only(&records).ok_or("this folder holds no view; take another copy")?;
     disk.rewrite(&rows).map_err(|f| f.to_string())?;
     Ok(format!(
         "{text}\nrestored: this copy is now the whole chain; start it, then empty machines one at a time"
--- a/src/distribution/relay_node.rs
+++ b/src/distribution/relay_node.rs
@@ -209,7 +209,7 @@
                     let rows = self.reader.handle_push(items);
                     self.learn(rows, ctx);
                 }
-                Msg::ServingLeaseGrant(grant) => self.lease_granted(grant, ctx),
+                Msg::ServingLeaseGrant(grant) => self.on_lease_grant(grant, ctx),
                 Msg::RequestUpdates => self.hurry(ctx),
                 Msg::UpdateRefused { view: Some(v), .. } if ctx.views.older(v) => {
                     ctx.publish(JournalEvent::ViewHeard(v.clone()));
--- a/src/distribution/serving_lease.rs
+++ b/src/distribution/serving_lease.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    pub(super) fn lease_granted(&mut self, grant: &ServingLeaseGrant, ctx: &mut Context) {
+    pub(super) fn on_lease_grant(&mut self, grant: &ServingLeaseGrant, ctx: &mut Context) {
         if let Some(Leased { scopes, until }) = self.lease.granted(grant) {
             ctx.effects.push(Effect::ServingLease { scopes, until });
         }
--- a/src/explore/cluster.rs
+++ b/src/explore/cluster.rs
@@ -170,9 +170,9 @@
         let Some(newest) = self.history.newest_view().map(|v| v.no) else { return };
         for place in 0..self.replicas.len() {
             let replica = &self.replicas[place];
-            let whole = replica
-                .chain()
-                .is_some_and(|c| c.in_chain() && c.ready && c.view.as_ref().is_some_and(|v| v.no == newest));
+            let whole = replica.chain().is_some_and(|c| {
+                c.in_chain() && c.is_ready && c.view.as_ref().is_some_and(|v| v.no == newest)
+            });
             if replica.damaged && whole && !replica.has_unsynced() {
                 self.replica(place).damaged = false;
             }
--- a/src/explore/digest.rs
+++ b/src/explore/digest.rs
@@ -82,7 +82,7 @@
     process.jobs.len().hash(hasher);
     process.views.fleet.hash(hasher);
     process.views.view.as_ref().map(|v| v.no).hash(hasher);
-    clock.of(process.views.role.until).hash(hasher);
+    clock.of(process.views.role.lease_until).hash(hasher);
     process.views.released.hash(hasher);
     clock.of(process.serving.unknown_until()).hash(hasher);
     hash_state(&process.views.state, hasher);
@@ -90,20 +90,26 @@
 
 fn hash_chain(chain: &Chain, clock: &Clock, hasher: &mut DefaultHasher) {
     hash_view(chain.view.as_ref(), hasher);
-    (chain.fleet, chain.log.last(), chain.log.base, chain.committed, chain.lead_from).hash(hasher);
+    (chain.fleet, chain.log.last(), chain.log.base, chain.committed, chain.inherited_upto).hash(hasher);
     for entry in chain.log.iter() {
         (entry.at, entry.view).hash(hasher);
     }
-    (chain.ready, chain.ready_in, chain.chain_synced, chain.isolated).hash(hasher);
-    clock.of_all(&chain.alive_at, hasher);
-    clock.of_all(&chain.reached_at, hasher);
+    (chain.is_ready, chain.ready_in_view, chain.successor_synced_to_tail, chain.is_isolated).hash(hasher);
+    clock.of_all(&chain.last_alive_at, hasher);
+    clock.of_all(&chain.last_reached_at, hasher);
     let (sent, waits_since) = chain.successor.under_way();
     (sent, clock.of(waits_since)).hash(hasher);
     let leaving = chain.peers.iter().filter(|p| p.1.leaving).map(|p| *p.0);
     leaving.collect::<Vec<_>>().hash(hasher);
     chain.departure.map(|d| (d.done, d.copies, d.votes)).hash(hasher);
     clock.of(chain.ready_since).hash(hasher);
-    for time in [chain.beat_at, chain.ticked, chain.viewed, chain.started, chain.lease.until] {
+    for time in [
+        chain.heartbeat_sent_at,
+        chain.ticked_at,
+        chain.view_installed_at,
+        chain.started_at,
+        chain.lease.until,
+    ] {
         clock.of(time).hash(hasher);
     }
     clock.of(chain.lease.asked).hash(hasher);
--- a/src/explore/invariants.rs
+++ b/src/explore/invariants.rs
@@ -115,7 +115,7 @@
 
 fn holds_lease(replica: &Replica, now: Time) -> bool {
     let clock = replica.clock(now);
-    replica.process.as_ref().is_some_and(|p| p.jobs.is_empty() && p.views.role.until > clock)
+    replica.process.as_ref().is_some_and(|p| p.jobs.is_empty() && p.views.role.lease_until > clock)
 }
 
 fn leases(cluster: &Cluster) -> Option<Violation> {
@@ -170,7 +170,8 @@
     for replica in &cluster.replicas {
         let Some(process) = &replica.process else { continue };
         let chain = &process.chain;
-        let counts = chain.ready && chain.in_chain() && chain.view.as_ref().is_some_and(|v| v.no == newest);
+        let counts =
+            chain.is_ready && chain.in_chain() && chain.view.as_ref().is_some_and(|v| v.no == newest);
         let lacks = |change: &&ChangeId| {
             let logged = chain.log.iter().any(|e| is_change(&e.change, **change));
             !logged && process.views.state.outcome(**change).is_none()
--- a/src/explore/schedule.rs
+++ b/src/explore/schedule.rs
@@ -111,7 +111,7 @@
     if spent.warnings < most.warnings && !leaving {
         steps.push(Step::Warn { place });
     }
-    if spent.submits < most.submits && replica.chain().is_some_and(|c| c.is_head() && c.ready) {
+    if spent.submits < most.submits && replica.chain().is_some_and(|c| c.is_head() && c.is_ready) {
         steps.push(Step::Submit { place });
     }
     let mine = replica.process.as_ref().and_then(|p| p.views.view.as_ref().map(|v| v.no));
--- a/src/explore/trace.rs
+++ b/src/explore/trace.rs
@@ -81,10 +81,10 @@
     let chain = &process.chain;
     let view = chain.view.as_ref().map_or("no view".to_string(), |v| v.to_string());
     let mut text = format!("{}={} {view} log {}", replica.place, replica.me.node, chain.log.last());
-    if chain.ready && chain.in_chain() {
+    if chain.is_ready && chain.in_chain() {
         text.push_str(" ready");
     }
-    let lease = process.views.role.until.since(replica.clock(now));
+    let lease = process.views.role.lease_until.since(replica.clock(now));
     if lease.0 > 0 {
         let _ = write!(text, " lease {lease}");
     }
--- a/src/explore/walk.rs
+++ b/src/explore/walk.rs
@@ -89,7 +89,7 @@
 }
 
 fn ready_head(state: &Cluster) -> Option<usize> {
-    let is_ready_head = |r: &&Arc<Replica>| r.chain().is_some_and(|c| c.is_head() && c.ready);
+    let is_ready_head = |r: &&Arc<Replica>| r.chain().is_some_and(|c| c.is_head() && c.is_ready);
     state.replicas.iter().find(is_ready_head).map(|r| r.place)
 }
 
--- a/src/placement/holder.rs
+++ b/src/placement/holder.rs
@@ -24,7 +24,7 @@
 impl Placement {
     pub fn name_holder(&mut self, ctx: &mut Context) {
         let post = ctx.views.role;
-        if !post.head || !post.ready || post.copies < 2 || ctx.now.since(self.named) < Span::ms(1500) {
+        if !post.is_head || !post.is_ready || post.copies < 2 || ctx.now.since(self.named) < Span::ms(1500) {
             return;
         }
         let Some(view) = ctx.views.view.clone() else { return };
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -94,7 +94,7 @@
     fn add(&mut self, id: ChangeId, call: Call, ctx: &mut Context) {
         let attempt = ctx.rand.next() | 1;
         let job = Job { call, attempt, since: ctx.now, sent: None, pending: false };
-        if ctx.views.role.isolated {
+        if ctx.views.role.is_isolated {
             let redirect = another_member(ctx, attempt);
             return ctx.answer(id, Answer { redirect, ..job.unanswered(id, true) });
         }
--- a/src/rollout/head.rs
+++ b/src/rollout/head.rs
@@ -66,7 +66,7 @@
             return;
         };
         let (id, rules) = (candidate.id, Self::rules(ctx, candidate));
-        if !ctx.views.role.head || !ctx.views.role.ready {
+        if !ctx.views.role.is_head || !ctx.views.role.is_ready {
             self.trial = None;
             return;
         }
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -58,8 +58,8 @@
         Msg::Chain(ChainMsg::Heartbeat { view, room, impaired, leaving }) => {
             part(HEARTBEAT, &(*view, *room, *impaired, *leaving), coder, body)
         }
-        Msg::Chain(ChainMsg::Progress { view, synced, committed, chain_synced }) => {
-            part(PROGRESS, &(*view, *synced, *committed, *chain_synced), coder, body)
+        Msg::Chain(ChainMsg::Progress { view, synced, committed, synced_to_tail }) => {
+            part(PROGRESS, &(*view, *synced, *committed, *synced_to_tail), coder, body)
         }
         Msg::Chain(ChainMsg::LeaseRequest { view, sent }) => {
             part(CHAIN_LEASE_REQUEST, &(*view, *sent), coder, body)
@@ -134,8 +134,8 @@
             Msg::Chain(ChainMsg::Heartbeat { view, room, impaired, leaving })
         }
         PROGRESS => {
-            let (view, synced, committed, chain_synced) = coder.decode(raw).ok()?;
-            Msg::Chain(ChainMsg::Progress { view, synced, committed, chain_synced })
+            let (view, synced, committed, synced_to_tail) = coder.decode(raw).ok()?;
+            Msg::Chain(ChainMsg::Progress { view, synced, committed, synced_to_tail })
         }
         CHAIN_LEASE_REQUEST => {
             let (view, sent) = coder.decode(raw).ok()?;
--- a/tests/chain.rs
+++ b/tests/chain.rs
@@ -1,7 +1,7 @@
 mod common;
 
 use common::{seeded, sound};
-use spindledock::chain::recovery::restore;
+use spindledock::chain::recovery::restore_as_only;
 use spindledock::kernel::disk::Disk;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
@@ -158,7 +158,7 @@
         }
         let mut disk = w.nodes[kept].disk.clone();
         let records = disk.load().expect("sound");
-        disk.rewrite(&restore(&records).expect("a view")).expect("written");
+        disk.rewrite(&restore_as_only(&records).expect("a view")).expect("written");
         for n in [kept, (kept + 1) % 3, (kept + 2) % 3] {
             w.start_node(n);
             assert!(w.until(Span::ms(15_000), |w| w.nodes[n].ready).is_some(), "{:?}", w.parts(n));
--- a/tests/common/adopt.rs
+++ b/tests/common/adopt.rs
@@ -89,8 +89,9 @@
         w.start_all();
         let core = w.controllers();
         assert!(w.until(Span::ms(20_000), |w| core.iter().all(|n| w.nodes[*n].ready)).is_some());
-        let leased =
-            |w: &World, n: usize| w.nodes[n].node.as_ref().is_some_and(|x| x.views.role.until > w.local(n));
+        let leased = |w: &World, n: usize| {
+            w.nodes[n].node.as_ref().is_some_and(|x| x.views.role.lease_until > w.local(n))
+        };
         let core = w.controllers();
         assert!(w.until(Span::ms(3000), |w| core.iter().any(|n| leased(w, *n))).is_some(), "no lease");
         Office { w, sent: BTreeMap::new() }
--- a/tests/cuts.rs
+++ b/tests/cuts.rs
@@ -36,7 +36,7 @@
 fn serves(w: &World, places: &[usize]) -> bool {
     places.iter().any(|n| {
         let node = w.nodes[*n].node.as_ref();
-        w.nodes[*n].frozen_until <= w.now && node.is_some_and(|x| x.views.role.until > w.local(*n))
+        w.nodes[*n].frozen_until <= w.now && node.is_some_and(|x| x.views.role.lease_until > w.local(*n))
     })
 }
 
--- a/tests/lease_return.rs
+++ b/tests/lease_return.rs
@@ -1,7 +1,7 @@
 //! The tail's lease that is returned before it has run out: a voter stops waiting for it, and for no other.
 
 use spindledock::chain::core::Chain;
-use spindledock::chain::lease::LEASE_PROMISE;
+use spindledock::chain::lease::LEASE_HOLD;
 use spindledock::chain::view::View;
 use spindledock::kernel::component::LocalNode;
 use spindledock::kernel::ids::*;
@@ -107,9 +107,9 @@
         !accepts(&hear(&mut voter, NOW + Span::ms(2), HEAD, returned(Time(700)))),
         "it is not the head's"
     );
-    let still = NOW + Span(LEASE_PROMISE.0 - 1);
+    let still = NOW + Span(LEASE_HOLD.0 - 1);
     assert!(!accepts(&voter.feed(still, Event::Tick)));
-    assert!(accepts(&voter.feed(NOW + LEASE_PROMISE, Event::Tick)));
+    assert!(accepts(&voter.feed(NOW + LEASE_HOLD, Event::Tick)));
 }
 
 /// The tail with a lease, and when it asked for it.
@@ -120,9 +120,9 @@
         hear(&mut tail, NOW, voter, beat);
     }
     tail.feed(NOW, Event::Tick);
-    assert_eq!(tail.views.role.until, Time(0));
+    assert_eq!(tail.views.role.lease_until, Time(0));
     grant(&mut tail, NOW);
-    assert!(tail.views.role.until > NOW);
+    assert!(tail.views.role.lease_until > NOW);
     (tail, NOW)
 }
 
@@ -142,9 +142,13 @@
     tail.free_disk_bytes = 0;
     let effects = hear(&mut tail, NOW + Span::ms(10), HEAD, prepare());
     assert!(says(&effects, |msg| *msg == returned(asked)), "{effects:?}");
-    assert_eq!(tail.views.role.until, Time(0));
+    assert_eq!(tail.views.role.lease_until, Time(0));
     grant(&mut tail, asked);
-    assert_eq!(tail.views.role.until, Time(0), "a grant that comes late is of a lease already returned");
+    assert_eq!(
+        tail.views.role.lease_until,
+        Time(0),
+        "a grant that comes late is of a lease already returned"
+    );
 }
 
 #[test]
@@ -152,5 +156,5 @@
     let (mut tail, _) = leased_tail();
     let effects = hear(&mut tail, NOW + Span::ms(10), HEAD, prepare());
     assert!(!says(&effects, |msg| matches!(msg, ChainMsg::LeaseReturned { .. })));
-    assert!(tail.views.role.until > NOW);
+    assert!(tail.views.role.lease_until > NOW);
 }
--- a/tests/placement_steps.rs
+++ b/tests/placement_steps.rs
@@ -158,7 +158,7 @@
     let placement = Placement::new(BEGIN, Policy::Move);
     let mut bench = Bench::new(placement, NodeId(1), Role::Controller, 3);
     let role = &mut bench.views.role;
-    (role.head, role.ready, role.copies) = (true, true, CONTROLLERS as usize);
+    (role.is_head, role.is_ready, role.copies) = (true, true, CONTROLLERS as usize);
     let mut rows = (*bench.views.members).clone();
     for row in rows.iter_mut().filter(|row| dead.contains(&row.who.node.0)) {
         row.quiet = Span::ms(9000);
--- a/tests/quota_owner.rs
+++ b/tests/quota_owner.rs
@@ -180,7 +180,8 @@
     let mut tail = member(NODES[2], &first);
     let config_version = tail.views.state.config_version;
     let ask = ConstraintMsg::AuthorityRequest { view: first.no, sent: START, config_version };
-    let role = |until| ChainRole { view: first.no, tail: true, until, ..ChainRole::default() };
+    let role =
+        |until| ChainRole { view: first.no, is_tail: true, lease_until: until, ..ChainRole::default() };
     tail.views.apply(&JournalEvent::Role(role(START)));
     assert!(mail(&mut tail, START, NODES[0], ask.clone()).is_empty());
     tail.views.apply(&JournalEvent::Role(role(START + Span::ms(1))));
@@ -194,7 +195,7 @@
     let first = view(1, &NODES);
     let mut tail = member(NODES[2], &first);
     let until = START + Span::ms(1);
-    let role = ChainRole { view: first.no, tail: true, until, ..ChainRole::default() };
+    let role = ChainRole { view: first.no, is_tail: true, lease_until: until, ..ChainRole::default() };
     tail.views.apply(&JournalEvent::Role(role));
     let newest = tail.views.state.config_version;
     let ask =
--- a/tests/second_loss.rs
+++ b/tests/second_loss.rs
@@ -149,7 +149,7 @@
             for head in w.controllers() {
                 let Some(node) = &w.nodes[head].node else { continue };
                 let (role, Some(view)) = (node.views.role, node.views.view.clone()) else { continue };
-                if !role.head || !role.safe {
+                if !role.is_head || !role.can_acknowledge {
                     continue;
                 }
                 judged += 1;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -67,7 +67,7 @@
         ChainMsg::Pledge { fleet: FleetId(3), members: vec![NodeId(1)], sent },
         ChainMsg::Pledged { fleet: FleetId(3), sent },
         ChainMsg::Append { view, first: true, upto: Version(9), entries: vec![entry()] },
-        ChainMsg::Progress { view, synced: Version(9), committed: Version(8), chain_synced: Version(7) },
+        ChainMsg::Progress { view, synced: Version(9), committed: Version(8), synced_to_tail: Version(7) },
         ChainMsg::Heartbeat { view, room: true, impaired: false, leaving: true },
         ChainMsg::Join { have: Version(2), following: true },
         ChainMsg::JoinHeard,
