--- a/src/chain/acceptor.rs
+++ b/src/chain/acceptor.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Default)]
 pub struct Acceptor {
     /// The number that the register is for.
-    pub no: ViewNo,
+    pub view_no: ViewNo,
     /// The highest ballot promised; lower ones are refused.
     pub promised: Ballot,
     /// The view accepted last.
@@ -57,25 +57,25 @@
     /// When it was accepted, or this voter last tried to have it decided.
     pub accepted_at: Time,
     /// Until when a lease that this voter granted may be in use.
-    pub hold: Time,
+    pub lease_hold_until: Time,
     /// Who holds that lease, and the time of its request by that tail's clock.
-    pub granted: Option<(NodeId, Time)>,
+    pub granted_lease: Option<(NodeId, Time)>,
     /// Until when no lease is granted because of a promise.
-    pub pause: Time,
+    pub grants_paused_until: Time,
     /// The acceptance that waits for `hold`.
     pub deferred: Option<DeferredAccept>,
     /// The highest round seen, for this node's own next ballot.
-    pub top: u64,
+    pub highest_round: u64,
     /// Until when this node proposes nothing after it lost to a higher ballot.
-    pub rest: Time,
+    pub backoff_until: Time,
 }
 
 impl Acceptor {
     /// Takes up a synced promise, or acceptance, after a restart.
-    pub fn restore_record(&mut self, no: ViewNo, ballot: Ballot, view: Option<View>) {
-        self.no = no;
+    pub fn restore_record(&mut self, view_no: ViewNo, ballot: Ballot, view: Option<View>) {
+        self.view_no = view_no;
         self.promised = self.promised.max(ballot);
-        self.top = self.top.max(ballot.round);
+        self.highest_round = self.highest_round.max(ballot.round);
         if let Some(view) = view {
             self.accepted = Some(AcceptedView { ballot, view });
         }
@@ -88,32 +88,32 @@
             rows.push(Record::Accept { ballot: *ballot, view: view.clone() });
         }
         if self.promised != Ballot::default() {
-            rows.push(Record::Promise { no: self.no, ballot: self.promised });
+            rows.push(Record::Promise { view_no: self.view_no, ballot: self.promised });
         }
         rows
     }
 
     /// Begins the register after `view`; a lease granted before still counts.
     pub fn reset(&mut self, view: &View) {
-        let (hold, granted) = (self.hold, self.granted);
-        *self = Acceptor { no: view.no.next(), hold, granted, ..Acceptor::default() };
+        let (lease_hold_until, granted_lease) = (self.lease_hold_until, self.granted_lease);
+        *self = Acceptor { view_no: view.no.next(), lease_hold_until, granted_lease, ..Acceptor::default() };
     }
 
     /// Whether a lease may be granted: not while a next view is under way.
     pub fn may_grant(&self, now: Time) -> bool {
-        self.accepted.is_none() && self.deferred.is_none() && now >= self.pause
+        self.accepted.is_none() && self.deferred.is_none() && now >= self.grants_paused_until
     }
 }
 
 impl Chain {
     /// Answers a proposer's `Prepare`.
     pub fn on_prepare(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
-        let ChainMsg::Prepare { no, ballot, lost, quiet } = msg else { return };
-        if *lost == Some(self.node_id) {
-            self.return_lease(*no, ctx);
+        let ChainMsg::Prepare { view_no, ballot, lost_member, silence } = msg else { return };
+        if *lost_member == Some(self.node_id) {
+            self.return_lease(*view_no, ctx);
         }
-        if self.can_vote_on(from, *no, ctx) && self.believes_lost(*lost, *quiet, ctx.now) {
-            self.promise(from, *no, *ballot, ctx);
+        if self.can_vote_on(from, *view_no, ctx) && self.believes_lost(*lost_member, *silence, ctx.now) {
+            self.promise(from, *view_no, *ballot, ctx);
         }
     }
 
@@ -125,34 +125,36 @@
     }
 
     /// Whether this node has a vote on view `no` and can sync it; who asks about a view already decided is told it.
-    fn can_vote_on(&mut self, from: NodeId, no: ViewNo, ctx: &mut Context) -> bool {
+    fn can_vote_on(&mut self, from: NodeId, view_no: ViewNo, ctx: &mut Context) -> bool {
         let Some(view) = self.view.clone() else { return false };
-        if no <= view.no {
+        if view_no <= view.no {
             ctx.chain(from, ChainMsg::ViewDecided { view });
             return false;
         }
-        no == view.no.next() && view.voters.contains(&self.node_id) && ctx.free_disk_bytes >= MIN_WRITE_BYTES
+        view_no == view.no.next()
+            && view.voters.contains(&self.node_id)
+            && ctx.free_disk_bytes >= MIN_WRITE_BYTES
     }
 
     /// Whether the member named lost is so for this voter too: unheard here, or by the proposer for long.
-    fn believes_lost(&self, lost: Option<NodeId>, quiet: Span, now: Time) -> bool {
-        let Some(lost) = lost else { return true };
+    fn believes_lost(&self, lost_member: Option<NodeId>, silence: Span, now: Time) -> bool {
+        let Some(lost) = lost_member else { return true };
         let heard = self.last_alive_at.get(&lost).copied().unwrap_or_default();
         let fine = lost == self.node_id || now.since(heard) < SILENCE_LIMIT;
-        !fine || quiet >= CERTAIN_LOSS_SILENCE
+        !fine || silence >= CERTAIN_LOSS_SILENCE
     }
 
-    fn promise(&mut self, from: NodeId, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
+    fn promise(&mut self, from: NodeId, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) {
         let saved = self.acceptor.promised == ballot;
-        if self.refuses(from, no, ballot, ctx) {
+        if self.refuses(from, view_no, ballot, ctx) {
             return;
         }
         if !saved {
-            ctx.save(Record::Promise { no, ballot });
+            ctx.save(Record::Promise { view_no, ballot });
         }
-        self.acceptor.pause = ctx.now + GRANT_PAUSE;
+        self.acceptor.grants_paused_until = ctx.now + GRANT_PAUSE;
         let accepted = self.acceptor.accepted.clone();
-        ctx.chain(from, ChainMsg::Promise { no, ballot, accepted });
+        ctx.chain(from, ChainMsg::Promise { view_no, ballot, accepted });
     }
 
     fn accept_or_defer(&mut self, from: NodeId, proposal: AcceptedView, ctx: &mut Context) {
@@ -168,31 +170,31 @@
     }
 
     fn accept(&mut self, from: NodeId, proposal: AcceptedView, ctx: &mut Context) {
-        let (no, ballot) = (proposal.view.no, proposal.ballot);
-        if self.refuses(from, no, ballot, ctx) {
+        let (view_no, ballot) = (proposal.view.no, proposal.ballot);
+        if self.refuses(from, view_no, ballot, ctx) {
             return;
         }
         ctx.save(Record::Accept { ballot, view: proposal.view.clone() });
         self.acceptor.accepted = Some(proposal);
         self.acceptor.accepted_at = ctx.now;
-        ctx.chain(from, ChainMsg::Accepted { no, ballot });
+        ctx.chain(from, ChainMsg::Accepted { view_no, ballot });
     }
 
     /// Refuses a ballot below the one promised; else promises this one.
-    fn refuses(&mut self, from: NodeId, no: ViewNo, ballot: Ballot, ctx: &mut Context) -> bool {
-        self.acceptor.top = self.acceptor.top.max(ballot.round);
+    fn refuses(&mut self, from: NodeId, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) -> bool {
+        self.acceptor.highest_round = self.acceptor.highest_round.max(ballot.round);
         if ballot < self.acceptor.promised {
-            ctx.chain(from, ChainMsg::Nack { no, ballot: self.acceptor.promised });
+            ctx.chain(from, ChainMsg::Nack { view_no, ballot: self.acceptor.promised });
             return true;
         }
-        self.acceptor.no = no;
+        self.acceptor.view_no = view_no;
         self.acceptor.promised = ballot;
         false
     }
 
     /// Whether a lease that this voter granted, perhaps before a restart, may still be in use.
     fn lease_may_run(&self, now: Time) -> bool {
-        now < self.acceptor.hold || self.is_in_restart_wait(now)
+        now < self.acceptor.lease_hold_until || self.is_in_restart_wait(now)
     }
 
     /// Accepts what waited for a lease, once that has run out or was returned.
@@ -209,7 +211,7 @@
     /// Accepts what waited for a lease, gives up an old proposal, and finishes one that was accepted here.
     pub fn acceptor_tick(&mut self, ctx: &mut Context) {
         self.accept_deferred(ctx);
-        if self.proposal.as_ref().is_some_and(|b| ctx.now.since(b.since) > PROPOSAL_TIMEOUT) {
+        if self.proposal.as_ref().is_some_and(|b| ctx.now.since(b.started_at) > PROPOSAL_TIMEOUT) {
             self.proposal = None;
         }
         let Some(accepted) = &self.acceptor.accepted else { return };
--- a/src/chain/change_queue.rs
+++ b/src/chain/change_queue.rs
@@ -113,7 +113,7 @@
     fn note_leaving(&mut self, tell: &RouterReport, ctx: &mut Context) {
         if !ctx.views.role.is_head
             || !ctx.views.role.is_ready
-            || ctx.views.role.copies < ctx.views.role.copies_needed
+            || ctx.views.role.copies < ctx.views.role.required_copies
         {
             return;
         }
@@ -170,7 +170,7 @@
         let text = "the head's disk is nearly full and nothing was written; free room there";
         return Some(Answer::new(507, "disk-full", text, 5));
     }
-    if ctx.views.role.copies < ctx.views.role.copies_needed {
+    if ctx.views.role.copies < ctx.views.role.required_copies {
         return Some(too_few_copies());
     }
     None
--- a/src/chain/core.rs
+++ b/src/chain/core.rs
@@ -24,7 +24,7 @@
     pub view: Option<View>,
     pub log: ReplicationLog,
     pub committed: Version,
-    pub inherited_upto: Version,
+    pub inherited_up_to: Version,
     pub is_ready: bool,
     pub ready_in_view: Option<ViewNo>,
     pub successor: SuccessorProgress,
@@ -56,7 +56,7 @@
             view: None,
             log: ReplicationLog::default(),
             committed: Version(0),
-            inherited_upto: Version(0),
+            inherited_up_to: Version(0),
             is_ready: false,
             ready_in_view: None,
             successor: SuccessorProgress::default(),
@@ -105,7 +105,7 @@
         if let Some(state) = self.restored_state.take() {
             ctx.publish(JournalEvent::StateLoaded(state));
         }
-        self.inherited_upto = self.log.last();
+        self.inherited_up_to = self.log.last();
         if let Some(view) = self.view.clone() {
             for node in view.all() {
                 self.mark_alive(node, ctx.now);
@@ -128,25 +128,30 @@
     fn on_chain_message(&mut self, from: NodeId, fleet: FleetId, msg: &ChainMsg, ctx: &mut Context) {
         self.note_heard(from, msg, ctx.now);
         match msg {
-            ChainMsg::Pledge { fleet, members, sent } => {
+            ChainMsg::PledgeRequest { fleet, members, sent } => {
                 self.on_pledge_request(from, *fleet, members, *sent, ctx)
             }
-            ChainMsg::Pledged { fleet, sent } => self.on_pledge_reply(from, *fleet, *sent, ctx),
-            ChainMsg::Append { view, upto, entries, .. } => self.on_append(from, *view, *upto, entries, ctx),
+            ChainMsg::PledgeReply { fleet, sent } => self.on_pledge_reply(from, *fleet, *sent, ctx),
+            ChainMsg::Append { view, log_last, entries, .. } => {
+                self.on_append(from, *view, *log_last, entries, ctx)
+            }
             ChainMsg::Progress { .. } => self.on_progress(from, msg, ctx),
-            ChainMsg::Heartbeat { view, room, leaving, impaired } => {
-                let said = PeerState { impaired: *impaired, room: *room, leaving: *leaving };
-                self.on_heartbeat(from, *view, said, ctx)
+            ChainMsg::Heartbeat { view, has_room, is_leaving, is_impaired } => {
+                let state =
+                    PeerState { is_impaired: *is_impaired, has_room: *has_room, is_leaving: *is_leaving };
+                self.on_heartbeat(from, *view, state, ctx)
             }
-            ChainMsg::Join { have, following } => self.on_join(from, *have, *following, ctx),
-            ChainMsg::JoinHeard => drop(self.joiner.met.insert(from, ctx.now)),
+            ChainMsg::JoinRequest { synced, is_following } => self.on_join(from, *synced, *is_following, ctx),
+            ChainMsg::JoinAck => drop(self.joiner.answered_at.insert(from, ctx.now)),
             ChainMsg::Snapshot { at, state } => self.on_snapshot(from, *at, state, ctx),
-            ChainMsg::Follow { entries, .. } => self.on_catch_up(from, entries, ctx),
+            ChainMsg::CatchUp { entries, .. } => self.on_catch_up(from, entries, ctx),
             ChainMsg::Prepare { .. } => self.on_prepare(from, msg, ctx),
             ChainMsg::Accept { ballot, view } => self.on_accept(from, *ballot, view, ctx),
-            ChainMsg::Promise { no, ballot, accepted } => self.on_promise(from, *no, *ballot, accepted, ctx),
-            ChainMsg::Accepted { no, ballot } => self.on_accepted(from, *no, *ballot, ctx),
-            ChainMsg::Nack { no, ballot } => self.on_nack(*no, *ballot, ctx),
+            ChainMsg::Promise { view_no, ballot, accepted } => {
+                self.on_promise(from, *view_no, *ballot, accepted, ctx)
+            }
+            ChainMsg::Accepted { view_no, ballot } => self.on_accepted(from, *view_no, *ballot, ctx),
+            ChainMsg::Nack { view_no, ballot } => self.on_nack(*view_no, *ballot, ctx),
             ChainMsg::ViewDecided { view } => {
                 if self.fleet == fleet && fleet != FleetId(0) {
                     self.install(view.clone(), ctx);
@@ -199,8 +204,8 @@
             ("synced", self.log.last().to_string()),
             ("committed", self.committed.to_string()),
             ("ready", self.is_ready.to_string()),
-            ("term_left", self.lease.until.since(now).to_string()),
-            ("log_rows", self.log.rows().to_string()),
+            ("term_left", self.lease.valid_until.since(now).to_string()),
+            ("log_rows", self.log.entry_count().to_string()),
             ("log_bytes", self.log.bytes().to_string()),
         ]
     }
--- a/src/chain/founding.rs
+++ b/src/chain/founding.rs
@@ -28,25 +28,25 @@
     /// The fleet and first members that this node has pledged itself to; synced.
     pub pledge: Option<(FleetId, Vec<NodeId>)>,
     /// Which seeds said, and when, whether they know no fleet.
-    pub answers: BTreeMap<NodeId, (bool, Time)>,
+    pub seed_answers: BTreeMap<NodeId, (bool, Time)>,
     /// When the pledge of each member that came back was asked for.
-    pub pledges: BTreeMap<NodeId, Time>,
+    pub pledged_at: BTreeMap<NodeId, Time>,
     /// When pledges were asked for last.
-    pub asked: Time,
+    pub asked_at: Time,
     /// When the founder was heard last.
-    pub heard: Time,
+    pub founder_heard_at: Time,
     /// When this node began to found.
-    pub began: Time,
+    pub began_at: Time,
     /// How many controllers are known.
-    pub known: usize,
+    pub known_controllers: usize,
     /// When their number grew last.
-    pub grown: Time,
+    pub grown_at: Time,
 }
 
 impl Founder {
     /// Notes a seed's answer.
     pub fn on_welcome(&mut self, from: NodeId, empty: bool, now: Time) {
-        self.answers.insert(from, (empty, now));
+        self.seed_answers.insert(from, (empty, now));
     }
 }
 
@@ -71,7 +71,7 @@
     fn seeds_know_no_fleet(&self, ctx: &Context) -> bool {
         let seen = |addr: &std::net::SocketAddr| {
             let Some(row) = ctx.views.members.iter().find(|r| r.who.addr == *addr) else { return false };
-            let got = self.founder.answers.get(&row.who.node);
+            let got = self.founder.seed_answers.get(&row.who.node);
             got.is_some_and(|(empty, at)| *empty && ctx.now.since(*at) < Span(PLEDGE_TTL.0 * 3))
         };
         (ctx.me.is_seed || !ctx.me.seeds.is_empty()) && ctx.me.seeds.iter().all(seen)
@@ -84,7 +84,7 @@
         let mut all: Vec<(bool, NodeId)> =
             live.map(|r| (me.core_size == 0 && !seed(r), r.who.node)).collect();
         all.sort();
-        let calm = ctx.now.since(self.founder.grown.max(me.started)) >= SETTLE_PERIOD;
+        let calm = ctx.now.since(self.founder.grown_at.max(me.started)) >= SETTLE_PERIOD;
         let whole = all.len() == ctx.views.controllers().count();
         if me.core_size == 0 && !me.is_seed && !calm {
             return None;
@@ -97,7 +97,7 @@
         let mut all: Vec<NodeId> = all.into_iter().map(|r| r.1).collect();
         let rank = all.iter().position(|n| *n == self.node_id)?;
         let turn = Span(CANDIDATE_STEP.0 * rank as u64);
-        if rank > 0 && (me.core_size > 0 || ctx.now.since(self.founder.grown.max(me.started)) < turn) {
+        if rank > 0 && (me.core_size > 0 || ctx.now.since(self.founder.grown_at.max(me.started)) < turn) {
             return None;
         }
         all.swap(0, rank);
@@ -107,23 +107,23 @@
     /// Asks for pledges, if this node is to found.
     pub fn found_fleet(&mut self, ctx: &mut Context) {
         let known = ctx.views.controllers().count();
-        if known > self.founder.known {
-            self.founder.grown = ctx.now;
+        if known > self.founder.known_controllers {
+            self.founder.grown_at = ctx.now;
         }
-        self.founder.known = known;
+        self.founder.known_controllers = known;
         let begun = self.founder.pledge.as_ref().is_some_and(|p| p.0 != FleetId(0));
         if !ctx.me.may_found && !begun {
             return;
         }
-        if self.fleet != FleetId(0) || ctx.now.since(self.founder.asked) < Span::ms(300) {
+        if self.fleet != FleetId(0) || ctx.now.since(self.founder.asked_at) < Span::ms(300) {
             return;
         }
-        self.founder.asked = ctx.now;
+        self.founder.asked_at = ctx.now;
         if let Some((_, members)) = &self.founder.pledge
             && let Some(first) = members.first()
             && *first != self.node_id
         {
-            let quiet = ctx.now.since(self.founder.heard.max(ctx.me.started));
+            let quiet = ctx.now.since(self.founder.founder_heard_at.max(ctx.me.started));
             if quiet > FOUNDING_TIMEOUT {
                 self.founder.pledge = None;
                 ctx.save(Record::Pledge { fleet: FleetId(0), members: vec![] });
@@ -134,19 +134,19 @@
             return;
         }
         let (fleet, members) = match &self.founder.pledge {
-            Some((f, m)) if f.0 != 0 && ctx.now.since(self.founder.began) < FOUNDING_TIMEOUT => {
+            Some((f, m)) if f.0 != 0 && ctx.now.since(self.founder.began_at) < FOUNDING_TIMEOUT => {
                 (*f, m.clone())
             }
             _ => {
                 let Some(all) = self.first_members(ctx) else { return };
-                self.founder.began = ctx.now;
-                self.founder.pledges.clear();
+                self.founder.began_at = ctx.now;
+                self.founder.pledged_at.clear();
                 self.founder.pledge = None;
                 (FleetId(ctx.rand.next() | 1), all)
             }
         };
         for node in &members {
-            ctx.chain(*node, ChainMsg::Pledge { fleet, members: members.clone(), sent: ctx.now });
+            ctx.chain(*node, ChainMsg::PledgeRequest { fleet, members: members.clone(), sent: ctx.now });
         }
     }
 
@@ -171,8 +171,8 @@
                 self.founder.pledge = Some((fleet, members.to_vec()));
             }
         }
-        self.founder.heard = ctx.now;
-        ctx.chain(from, ChainMsg::Pledged { fleet, sent });
+        self.founder.founder_heard_at = ctx.now;
+        ctx.chain(from, ChainMsg::PledgeReply { fleet, sent });
     }
 
     /// Counts a pledge; with all of them the fleet is founded.
@@ -181,8 +181,9 @@
         if mine != fleet || self.fleet != FleetId(0) || members.first() != Some(&self.node_id) {
             return;
         }
-        self.founder.pledges.insert(from, sent);
-        let fresh = |n: &NodeId| self.founder.pledges.get(n).is_some_and(|t| ctx.now.since(*t) < PLEDGE_TTL);
+        self.founder.pledged_at.insert(from, sent);
+        let fresh =
+            |n: &NodeId| self.founder.pledged_at.get(n).is_some_and(|t| ctx.now.since(*t) < PLEDGE_TTL);
         if !members.iter().all(fresh) {
             return;
         }
--- a/src/chain/heartbeat.rs
+++ b/src/chain/heartbeat.rs
@@ -47,12 +47,12 @@
         self.trim_log(ctx);
     }
 
-    fn send_heartbeats(&mut self, all: &[NodeId], no: ViewNo, is_isolated: bool, ctx: &mut Context) {
+    fn send_heartbeats(&mut self, all: &[NodeId], view_no: ViewNo, is_isolated: bool, ctx: &mut Context) {
         if ctx.now.since(self.heartbeat_sent_at) < HEARTBEAT_INTERVAL {
             return;
         }
         self.heartbeat_sent_at = ctx.now;
-        let beat = self.heartbeat(no, ctx);
+        let beat = self.heartbeat(view_no, ctx);
         for node in all.iter().filter(|n| **n != self.node_id) {
             ctx.chain(*node, beat.clone());
         }
@@ -63,20 +63,20 @@
     }
 
     fn heartbeat(&self, view: ViewNo, ctx: &Context) -> ChainMsg {
-        let (room, leaving) = (ctx.free_disk_bytes >= NEARLY_FULL_BYTES, self.departure.is_some());
-        let impaired = self.is_isolated || !self.can_write(ctx);
-        ChainMsg::Heartbeat { view, room, impaired, leaving }
+        let (has_room, is_leaving) = (ctx.free_disk_bytes >= NEARLY_FULL_BYTES, self.departure.is_some());
+        let is_impaired = self.is_isolated || !self.can_write(ctx);
+        ChainMsg::Heartbeat { view, has_room, is_impaired, is_leaving }
     }
 
     /// Takes a heartbeat. One that cannot write is left out of the view and cannot ask to join, so nobody would
     /// speak to it; the answer shows it that it still reaches a majority.
-    pub fn on_heartbeat(&mut self, from: NodeId, no: ViewNo, said: PeerState, ctx: &mut Context) {
-        self.peers.insert(from, said);
+    pub fn on_heartbeat(&mut self, from: NodeId, view_no: ViewNo, state: PeerState, ctx: &mut Context) {
+        self.peers.insert(from, state);
         let Some(view) = self.view.clone() else { return };
-        if no < view.no {
+        if view_no < view.no {
             return ctx.chain(from, ChainMsg::ViewDecided { view });
         }
-        if said.impaired && !view.all().contains(&from) {
+        if state.is_impaired && !view.all().contains(&from) {
             let answer = self.heartbeat(view.no, ctx);
             ctx.chain(from, answer);
         }
@@ -86,8 +86,8 @@
     /// majority that hears this node, and as lost from the chain all the same.
     pub fn note_heard(&mut self, from: NodeId, msg: &ChainMsg, now: Time) {
         self.last_reached_at.insert(from, now);
-        if let ChainMsg::Heartbeat { impaired, .. } = msg {
-            self.peers.entry(from).or_default().impaired = *impaired;
+        if let ChainMsg::Heartbeat { is_impaired, .. } = msg {
+            self.peers.entry(from).or_default().is_impaired = *is_impaired;
         }
         let needs_no_disk = matches!(msg, ChainMsg::LeaseRequest { .. } | ChainMsg::LeaseGrant { .. });
         if !needs_no_disk && !self.is_impaired(from) {
@@ -96,7 +96,7 @@
     }
 
     fn is_impaired(&self, node: NodeId) -> bool {
-        self.peers.get(&node).is_some_and(|said| said.impaired)
+        self.peers.get(&node).is_some_and(|peer| peer.is_impaired)
     }
 
     /// Whether a vote or an entry of this node would be synced soon.
@@ -156,7 +156,8 @@
     /// Whether enough other members have room on their disks.
     pub fn peers_have_room(&self, ctx: &Context) -> bool {
         let Some(view) = &self.view else { return false };
-        let fine = |n: &&NodeId| self.is_heard(**n, ctx.now) && self.peers.get(*n).is_some_and(|p| p.room);
+        let fine =
+            |n: &&NodeId| self.is_heard(**n, ctx.now) && self.peers.get(*n).is_some_and(|p| p.has_room);
         view.chain.iter().filter(|n| **n != self.node_id).filter(fine).count() >= ctx.me.required_copies()
     }
 }
--- a/src/chain/installation.rs
+++ b/src/chain/installation.rs
@@ -35,7 +35,7 @@
             self.save_ready(view.no, ctx);
         }
         self.joiner.stop(view.has(self.node_id));
-        self.inherited_upto = self.log.last();
+        self.inherited_up_to = self.log.last();
         if self.view.is_none() && view.no == ViewNo(1) {
             ctx.publish(JournalEvent::Founded);
         }
@@ -46,33 +46,33 @@
     }
 
     /// Records that this member holds all that was committed before view `no`; synced before others hear of it.
-    pub fn save_ready(&mut self, no: ViewNo, ctx: &mut Context) {
-        self.ready_in_view = Some(no);
-        ctx.save(Record::Ready { view: no });
-        ctx.publish(JournalEvent::MemberReady(no));
+    pub fn save_ready(&mut self, view_no: ViewNo, ctx: &mut Context) {
+        self.ready_in_view = Some(view_no);
+        ctx.save(Record::Ready { view: view_no });
+        ctx.publish(JournalEvent::MemberReady(view_no));
     }
 
     /// Tells the node's other components what it is in the chain.
     pub fn publish_role(&mut self, ctx: &mut Context) {
         let role = ChainRole {
-            is_head: self.is_head() && self.committed >= self.inherited_upto,
+            is_head: self.is_head() && self.committed >= self.inherited_up_to,
             is_tail: self.is_tail(),
             is_ready: self.is_ready,
             copies: self.view.as_ref().map_or(0, |v| v.chain.len()),
-            copies_needed: ctx.me.required_copies(),
+            required_copies: ctx.me.required_copies(),
             can_acknowledge: self.has_enough_copies(ctx),
             peers_have_room: self.peers_have_room(ctx),
-            lease_until: if self.is_tail() && self.is_ready { self.lease.until } else { Time(0) },
+            lease_until: if self.is_tail() && self.is_ready { self.lease.valid_until } else { Time(0) },
             last_entry: self.log.last(),
             view: self.view.as_ref().map_or(ViewNo(0), |v| v.no),
             is_isolated: self.view.is_some() && self.is_isolated,
         };
         let has_its_vote = |v: &View| self.view_with_own_vote(v, ctx).is_none();
         let settled = self.has_reported_ready || self.view.as_ref().is_some_and(has_its_vote);
-        let fit = self.is_ready && self.in_chain() && settled;
-        if fit != self.has_reported_ready {
-            self.has_reported_ready = fit;
-            ctx.effects.push(Effect::Ready(fit));
+        let classify = self.is_ready && self.in_chain() && settled;
+        if classify != self.has_reported_ready {
+            self.has_reported_ready = classify;
+            ctx.effects.push(Effect::Ready(classify));
         }
         ctx.publish(JournalEvent::Role(role));
     }
--- a/src/chain/join.rs
+++ b/src/chain/join.rs
@@ -3,7 +3,7 @@
 
 use super::core::{Chain, SILENCE_LIMIT};
 use super::heartbeat::MIN_WRITE_BYTES;
-use super::replication_log::{Fit, ReplicationLog};
+use super::replication_log::{EntryFit, ReplicationLog};
 use crate::fleet::FleetState;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
@@ -27,22 +27,22 @@
 #[derive(Clone, Default)]
 pub struct Joiner {
     /// Whether it has a snapshot and follows changes.
-    pub following: bool,
+    pub is_following: bool,
     /// When it asked to join last.
-    pub asked: Time,
+    pub asked_at: Time,
     /// When it tried its disk last.
-    pub tried: Time,
+    pub disk_tried_at: Time,
     /// When each member answered last.
-    pub met: BTreeMap<NodeId, Time>,
+    pub answered_at: BTreeMap<NodeId, Time>,
 }
 
 impl Joiner {
     /// Ends joining when a view comes; what was followed outside the chain is not relied on.
     pub fn stop(&mut self, inside: bool) {
         if !inside {
-            self.following = false;
+            self.is_following = false;
         }
-        self.asked = Time(0);
+        self.asked_at = Time(0);
     }
 }
 
@@ -52,52 +52,54 @@
         if self.departure.is_some() {
             return;
         }
-        if self.in_chain() || self.fleet == FleetId(0) || ctx.now.since(self.joiner.asked) < JOIN_INTERVAL {
+        if self.in_chain() || self.fleet == FleetId(0) || ctx.now.since(self.joiner.asked_at) < JOIN_INTERVAL
+        {
             return;
         }
         if ctx.is_disk_slow || ctx.free_disk_bytes < MIN_WRITE_BYTES {
             return self.try_disk(ctx);
         }
         let Some(view) = ctx.views.view.clone() else { return };
-        self.joiner.asked = ctx.now;
-        let met = |n: &NodeId| self.joiner.met.get(n).is_some_and(|t| ctx.now.since(*t) < SILENCE_LIMIT);
+        self.joiner.asked_at = ctx.now;
+        let met =
+            |n: &NodeId| self.joiner.answered_at.get(n).is_some_and(|t| ctx.now.since(*t) < SILENCE_LIMIT);
         let (tail, all) = (view.tail(), view.chain.iter().all(|n| view.tail() == Some(*n) || met(n)));
-        let (have, following) = (self.log.last(), self.joiner.following);
+        let (synced, is_following) = (self.log.last(), self.joiner.is_following);
         for node in view.chain.iter().copied().filter(|n| all || Some(*n) != tail) {
-            ctx.chain(node, ChainMsg::Join { have, following });
+            ctx.chain(node, ChainMsg::JoinRequest { synced, is_following });
         }
         if !all {
-            self.joiner.asked = ctx.now - Span(JOIN_INTERVAL.0 - JOIN_RETRY.0);
+            self.joiner.asked_at = ctx.now - Span(JOIN_INTERVAL.0 - JOIN_RETRY.0);
         }
     }
 
     fn try_disk(&mut self, ctx: &mut Context) {
-        if ctx.now.since(self.joiner.tried) >= DISK_TRIAL_INTERVAL {
-            self.joiner.tried = ctx.now;
+        if ctx.now.since(self.joiner.disk_tried_at) >= DISK_TRIAL_INTERVAL {
+            self.joiner.disk_tried_at = ctx.now;
             ctx.save(Record::Ident { node: self.node_id });
         }
     }
 
     /// Answers a node that wants to join: with a snapshot, changes, or a proposal that takes it in.
-    pub fn on_join(&mut self, from: NodeId, have: Version, following: bool, ctx: &mut Context) {
+    pub fn on_join(&mut self, from: NodeId, synced: Version, is_following: bool, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
         if !self.is_tail() || view.has(from) {
-            ctx.chain(from, ChainMsg::JoinHeard);
+            ctx.chain(from, ChainMsg::JoinAck);
             return ctx.chain(from, ChainMsg::ViewDecided { view });
         }
-        if !self.is_ready || ctx.now >= self.lease.until {
+        if !self.is_ready || ctx.now >= self.lease.valid_until {
             return;
         }
         let Some(want) = view.with(from, ctx.me) else { return };
-        let cheap =
-            self.log.bytes_after(have) <= MAX_CATCH_UP_BYTES.max(2 * ctx.views.state.config.size_estimate());
-        let rows = if following && cheap { self.log.after(have) } else { None };
+        let cheap = self.log.bytes_after(synced)
+            <= MAX_CATCH_UP_BYTES.max(2 * ctx.views.state.config.size_estimate());
+        let rows = if is_following && cheap { self.log.entries_after(synced) } else { None };
         let Some(entries) = rows else {
             let state = Box::new(ctx.views.state.clone());
             return ctx.chain(from, ChainMsg::Snapshot { at: self.committed, state });
         };
-        let near = have.0 + MAX_LAG >= self.committed.0;
-        ctx.chain(from, ChainMsg::Follow { entries, done: self.committed });
+        let near = synced.0 + MAX_LAG >= self.committed.0;
+        ctx.chain(from, ChainMsg::CatchUp { entries, committed: self.committed });
         if near && self.proposal.is_none() && !self.is_in_restart_wait(ctx.now) {
             self.propose_view(want, None, Span(0), ctx);
         }
@@ -109,13 +111,13 @@
         if self.in_chain() && (pred != Some(from) || at <= self.log.last()) {
             return;
         }
-        if !self.in_chain() && self.joiner.following && at <= self.log.last() {
+        if !self.in_chain() && self.joiner.is_following && at <= self.log.last() {
             return;
         }
         let tag = ctx.views.view.as_ref().map_or(ViewNo(0), |v| v.no);
-        self.log = ReplicationLog::behind(at, tag);
+        self.log = ReplicationLog::after_snapshot(at, tag);
         self.committed = at;
-        self.joiner.following = true;
+        self.joiner.is_following = true;
         let rows = self.records(state);
         ctx.effects.push(Effect::Rewrite(rows));
         ctx.log_event("snapshot", format!("{at} from {from}"));
@@ -125,21 +127,21 @@
     /// Takes the changes after the snapshot.
     pub fn on_catch_up(&mut self, from: NodeId, entries: &[Entry], ctx: &mut Context) {
         let tail = ctx.views.view.as_ref().and_then(|v| v.tail());
-        if self.in_chain() || !self.joiner.following || tail != Some(from) {
+        if self.in_chain() || !self.joiner.is_following || tail != Some(from) {
             return;
         }
         for e in entries {
-            match self.log.fit(e) {
-                Fit::Next => self.append_entry(e.clone(), ctx),
-                Fit::Known => {}
-                Fit::Gap => break,
-                Fit::Clash => {
-                    self.joiner.following = false;
+            match self.log.classify(e) {
+                EntryFit::Next => self.append_entry(e.clone(), ctx),
+                EntryFit::AlreadyHeld => {}
+                EntryFit::Gap => break,
+                EntryFit::Conflict => {
+                    self.joiner.is_following = false;
                     return;
                 }
             }
         }
         self.apply_up_to(self.log.last(), ctx);
-        self.joiner.asked = Time(0);
+        self.joiner.asked_at = Time(0);
     }
 }
--- a/src/chain/lease.rs
+++ b/src/chain/lease.rs
@@ -25,11 +25,11 @@
 #[derive(Clone, Default)]
 pub struct Lease {
     /// Until when it may be used.
-    pub until: Time,
+    pub valid_until: Time,
     /// When it was asked for last.
-    pub asked: Time,
+    pub requested_at: Time,
     /// When it was last returned; grants of what was asked for until then count no more.
-    pub returned: Time,
+    pub returned_at: Time,
     /// The newest request that each voter has granted.
     pub grants: BTreeMap<NodeId, Time>,
 }
@@ -41,34 +41,39 @@
         if !self.is_tail() || !self.is_ready || self.awaits_first_vote(ctx) {
             return;
         }
-        let rests = self.lease.returned != Time(0) && ctx.now.since(self.lease.returned) < RETURN_BACKOFF;
-        if rests || ctx.now.since(self.lease.asked) < LEASE_RENEW_INTERVAL {
+        let rests =
+            self.lease.returned_at != Time(0) && ctx.now.since(self.lease.returned_at) < RETURN_BACKOFF;
+        if rests || ctx.now.since(self.lease.requested_at) < LEASE_RENEW_INTERVAL {
             return;
         }
-        self.lease.asked = ctx.now;
+        self.lease.requested_at = ctx.now;
         for node in &view.voters {
             ctx.chain(*node, ChainMsg::LeaseRequest { view: view.no, sent: ctx.now });
         }
     }
 
     /// A voter grants the tail its lease, unless a next view is under way.
-    pub fn on_lease_request(&mut self, from: NodeId, no: ViewNo, sent: Time, ctx: &mut Context) {
+    pub fn on_lease_request(&mut self, from: NodeId, view_no: ViewNo, sent: Time, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
-        if view.no != no || view.tail() != Some(from) || !view.voters.contains(&self.node_id) {
+        if view.no != view_no || view.tail() != Some(from) || !view.voters.contains(&self.node_id) {
             return;
         }
         if self.is_in_restart_wait(ctx.now) || !self.acceptor.may_grant(ctx.now) {
             return;
         }
-        self.acceptor.hold = ctx.now + LEASE_HOLD;
-        self.acceptor.granted = Some((from, sent));
-        ctx.chain(from, ChainMsg::LeaseGrant { view: no, sent });
+        self.acceptor.lease_hold_until = ctx.now + LEASE_HOLD;
+        self.acceptor.granted_lease = Some((from, sent));
+        ctx.chain(from, ChainMsg::LeaseGrant { view: view_no, sent });
     }
 
     /// Counts a grant; the lease runs from the latest request that a majority has granted.
-    pub fn on_lease_grant(&mut self, from: NodeId, no: ViewNo, sent: Time) {
+    pub fn on_lease_grant(&mut self, from: NodeId, view_no: ViewNo, sent: Time) {
         let Some(view) = &self.view else { return };
-        if view.no != no || !self.is_tail() || !view.voters.contains(&from) || sent <= self.lease.returned {
+        if view.no != view_no
+            || !self.is_tail()
+            || !view.voters.contains(&from)
+            || sent <= self.lease.returned_at
+        {
             return;
         }
         let best = self.lease.grants.entry(from).or_default();
@@ -77,20 +82,20 @@
         sends.sort();
         sends.reverse();
         if let Some(t) = sends.get(view.majority() - 1) {
-            self.lease.until = self.lease.until.max(*t + LEASE_DURATION);
+            self.lease.valid_until = self.lease.valid_until.max(*t + LEASE_DURATION);
         }
     }
 
     /// Gives the lease up, if this tail cannot write and is to be left out of view `no`: from here on it answers
     /// nothing as the tail, whatever was granted before.
-    pub fn return_lease(&mut self, no: ViewNo, ctx: &mut Context) {
+    pub fn return_lease(&mut self, view_no: ViewNo, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
-        if no != view.no.next() || !self.is_tail() || self.can_write(ctx) {
+        if view_no != view.no.next() || !self.is_tail() || self.can_write(ctx) {
             return;
         }
-        let sent = self.lease.asked;
-        self.lease.until = Time(0);
-        self.lease.returned = ctx.now;
+        let sent = self.lease.requested_at;
+        self.lease.valid_until = Time(0);
+        self.lease.returned_at = ctx.now;
         self.lease.grants.clear();
         ctx.log_event("lease-returned", view.no.to_string());
         for node in &view.voters {
@@ -100,12 +105,12 @@
 
     /// The tail has returned the lease that it asked for at `sent`. Only the very lease that this voter granted last
     /// ends so: a word that comes late says nothing of a later one.
-    pub fn on_lease_returned(&mut self, from: NodeId, no: ViewNo, sent: Time, ctx: &mut Context) {
-        let current = self.view.as_ref().is_some_and(|view| view.no == no);
-        if !current || self.acceptor.granted != Some((from, sent)) {
+    pub fn on_lease_returned(&mut self, from: NodeId, view_no: ViewNo, sent: Time, ctx: &mut Context) {
+        let current = self.view.as_ref().is_some_and(|view| view.no == view_no);
+        if !current || self.acceptor.granted_lease != Some((from, sent)) {
             return;
         }
-        self.acceptor.hold = Time(0);
+        self.acceptor.lease_hold_until = Time(0);
         self.accept_deferred(ctx);
     }
 
--- a/src/chain/leaving.rs
+++ b/src/chain/leaving.rs
@@ -19,11 +19,11 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Departure {
     /// Whether the process may end now.
-    pub done: bool,
+    pub is_done: bool,
     /// How many other members that stay hold all that is committed.
     pub copies: usize,
     /// How many there should be.
-    pub copies_wanted: usize,
+    pub required_copies: usize,
     /// How many votes are with live members that stay.
     pub votes: usize,
     /// How many make a majority.
@@ -33,14 +33,14 @@
 impl Departure {
     /// Whether the others can go on without this member.
     fn others_suffice(&self) -> bool {
-        self.copies >= self.copies_wanted && self.votes >= self.majority
+        self.copies >= self.required_copies && self.votes >= self.majority
     }
 }
 
 impl std::fmt::Display for Departure {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let state = if self.done { "left" } else { "not left yet" };
-        let (copies, wanted) = (self.copies, self.copies_wanted);
+        let state = if self.is_done { "left" } else { "not left yet" };
+        let (copies, wanted) = (self.copies, self.required_copies);
         write!(f, "{state}: {copies} of {wanted} copies wanted and {} votes stand elsewhere", self.votes)?;
         write!(f, ", {} votes are a majority", self.majority)
     }
@@ -57,7 +57,7 @@
 
     /// Whether `node` has said that it is about to leave.
     pub fn is_leaving(&self, node: NodeId) -> bool {
-        self.peers.get(&node).is_some_and(|p| p.leaving)
+        self.peers.get(&node).is_some_and(|p| p.is_leaving)
     }
 
     /// Proposes the view without this member if the others can go on in it.
@@ -71,17 +71,17 @@
     /// Tells the daemon how far leaving has got, when that has changed.
     pub fn update_departure(&mut self, ctx: &mut Context) {
         let Some(old) = self.departure else { return };
-        if old.done {
+        if old.is_done {
             return;
         }
         let now = match self.view.clone() {
             Some(view) if view.has(self.node_id) => {
                 let next = self.view_without_self(&view, ctx.now);
                 let rest = self.departure_without_me(&next, ctx);
-                Departure { done: self.has_nobody_to_wait_for(&view, ctx), ..rest }
+                Departure { is_done: self.has_nobody_to_wait_for(&view, ctx), ..rest }
             }
-            Some(view) => Departure { done: true, ..self.departure_without_me(&view, ctx) },
-            None => Departure { done: true, ..Departure::default() },
+            Some(view) => Departure { is_done: true, ..self.departure_without_me(&view, ctx) },
+            None => Departure { is_done: true, ..Departure::default() },
         };
         if now != old {
             self.departure = Some(now);
@@ -103,9 +103,9 @@
         let synced = !self.in_chain() || (self.is_ready && self.synced_to_tail() >= self.committed);
         let copies = if synced { next.chain.iter().filter(stay).count() } else { 0 };
         Departure {
-            done: false,
+            is_done: false,
             copies,
-            copies_wanted: ctx.me.required_copies(),
+            required_copies: ctx.me.required_copies(),
             votes: next.voters.iter().filter(|v| next.has(**v)).filter(stay).count(),
             majority: next.majority(),
         }
@@ -135,9 +135,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerState {
     /// It hears no majority or cannot write: it beats and grants leases, and counts as lost from the chain.
-    pub impaired: bool,
+    pub is_impaired: bool,
     /// Its disk has room for changes.
-    pub room: bool,
+    pub has_room: bool,
     /// It was told to stop and is about to leave.
-    pub leaving: bool,
+    pub is_leaving: bool,
 }
--- a/src/chain/ledger_transfer.rs
+++ b/src/chain/ledger_transfer.rs
@@ -68,17 +68,17 @@
     }
 
     /// At the predecessor: answers with all that it has recorded.
-    pub(super) fn ledger_requested(&self, from: NodeId, no: ViewNo, nonce: u64, ctx: &mut Context) {
-        let view = self.current_view(ctx).filter(|v| v.no == no && v.after(ctx.me.node) == Some(from));
+    pub(super) fn ledger_requested(&self, from: NodeId, view_no: ViewNo, nonce: u64, ctx: &mut Context) {
+        let view = self.current_view(ctx).filter(|v| v.no == view_no && v.after(ctx.me.node) == Some(from));
         if view.is_some() {
             let ledger = self.ledger(ctx.now);
-            ctx.chain(from, ChainMsg::LeaseLedger { view: no, nonce, ledger });
+            ctx.chain(from, ChainMsg::LeaseLedger { view: view_no, nonce, ledger });
         }
     }
 
     /// Takes over the predecessor's ledger, besides what was recorded since it was asked for.
-    pub(super) fn ledger_given(&mut self, no: ViewNo, nonce: u64, ledger: &LeaseLedger, ctx: &Context) {
-        let current = self.current_view(ctx).is_some_and(|v| v.no == no);
+    pub(super) fn ledger_given(&mut self, view_no: ViewNo, nonce: u64, ledger: &LeaseLedger, ctx: &Context) {
+        let current = self.current_view(ctx).is_some_and(|v| v.no == view_no);
         if !current || self.ledger_request.nonce != Some(nonce) {
             return;
         }
--- a/src/chain/messages.rs
+++ b/src/chain/messages.rs
@@ -23,19 +23,19 @@
 /// What controllers say to each other about the view, the chain and its lease.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum ChainMsg {
-    Pledge {
+    PledgeRequest {
         fleet: FleetId,
         members: Vec<NodeId>,
         sent: Time,
     },
-    Pledged {
+    PledgeReply {
         fleet: FleetId,
         sent: Time,
     },
     Append {
         view: ViewNo,
-        first: bool,
-        upto: Version,
+        is_announcement: bool,
+        log_last: Version,
         entries: Vec<Entry>,
     },
     Progress {
@@ -46,32 +46,32 @@
     },
     Heartbeat {
         view: ViewNo,
-        room: bool,
+        has_room: bool,
         /// The sender hears no majority, or cannot write.
-        impaired: bool,
-        leaving: bool,
+        is_impaired: bool,
+        is_leaving: bool,
     },
-    Join {
-        have: Version,
-        following: bool,
+    JoinRequest {
+        synced: Version,
+        is_following: bool,
     },
-    JoinHeard,
+    JoinAck,
     Snapshot {
         at: Version,
         state: Box<FleetState>,
     },
-    Follow {
+    CatchUp {
         entries: Vec<Entry>,
-        done: Version,
+        committed: Version,
     },
     Prepare {
-        no: ViewNo,
+        view_no: ViewNo,
         ballot: Ballot,
-        lost: Option<NodeId>,
-        quiet: Span,
+        lost_member: Option<NodeId>,
+        silence: Span,
     },
     Promise {
-        no: ViewNo,
+        view_no: ViewNo,
         ballot: Ballot,
         accepted: Option<AcceptedView>,
     },
@@ -80,11 +80,11 @@
         view: View,
     },
     Accepted {
-        no: ViewNo,
+        view_no: ViewNo,
         ballot: Ballot,
     },
     Nack {
-        no: ViewNo,
+        view_no: ViewNo,
         ballot: Ballot,
     },
     ViewDecided {
@@ -141,12 +141,12 @@
     /// Its kind, for figures.
     pub fn kind(&self) -> &'static str {
         match self {
-            ChainMsg::Pledge { .. } | ChainMsg::Pledged { .. } => "pledge",
+            ChainMsg::PledgeRequest { .. } | ChainMsg::PledgeReply { .. } => "pledge",
             ChainMsg::Append { .. } => "append",
             ChainMsg::Progress { .. } => "progress",
             ChainMsg::Heartbeat { .. } => "heartbeat",
-            ChainMsg::Join { .. } | ChainMsg::JoinHeard => "chain join",
-            ChainMsg::Snapshot { .. } | ChainMsg::Follow { .. } => "chain catch-up",
+            ChainMsg::JoinRequest { .. } | ChainMsg::JoinAck => "chain join",
+            ChainMsg::Snapshot { .. } | ChainMsg::CatchUp { .. } => "chain catch-up",
             ChainMsg::Prepare { .. }
             | ChainMsg::Promise { .. }
             | ChainMsg::Accept { .. }
@@ -171,7 +171,7 @@
     Fleet { fleet: FleetId },
     Pledge { fleet: FleetId, members: Vec<NodeId> },
     View { view: View },
-    Promise { no: ViewNo, ballot: Ballot },
+    Promise { view_no: ViewNo, ballot: Ballot },
     Accept { ballot: Ballot, view: View },
     Entry { entry: Box<Entry> },
     Ready { view: ViewNo },
@@ -186,7 +186,7 @@
     pub is_tail: bool,
     pub is_ready: bool,
     pub copies: usize,
-    pub copies_needed: usize,
+    pub required_copies: usize,
     pub can_acknowledge: bool,
     pub peers_have_room: bool,
     pub lease_until: Time,
--- a/src/chain/read_index.rs
+++ b/src/chain/read_index.rs
@@ -182,7 +182,7 @@
 }
 
 fn copies_suffice(ctx: &Context) -> bool {
-    ctx.views.role.copies >= ctx.views.role.copies_needed
+    ctx.views.role.copies >= ctx.views.role.required_copies
 }
 
 /// The answer to an order that got no proof in time.
--- a/src/chain/recovery.rs
+++ b/src/chain/recovery.rs
@@ -18,11 +18,11 @@
                 self.acceptor = Acceptor::default();
                 self.view = Some(view);
             }
-            Record::Promise { no, ballot } => self.acceptor.restore_record(no, ballot, None),
+            Record::Promise { view_no, ballot } => self.acceptor.restore_record(view_no, ballot, None),
             Record::Accept { ballot, view } => self.acceptor.restore_record(view.no, ballot, Some(view)),
             Record::Entry { entry } => self.log.push(*entry),
             Record::Snapshot { at, tag, state } => {
-                self.log = ReplicationLog::behind(at, tag);
+                self.log = ReplicationLog::after_snapshot(at, tag);
                 self.committed = at;
                 self.restored_state = Some(Arc::new(*state));
             }
@@ -44,7 +44,7 @@
         }
         rows.extend(self.acceptor.records());
         let state = Box::new(state.clone());
-        rows.push(Record::Snapshot { at: self.log.base, tag: self.log.tag, state });
+        rows.push(Record::Snapshot { at: self.log.base, tag: self.log.base_view, state });
         rows.extend(self.log.iter().map(|e| Record::Entry { entry: Box::new(e.clone()) }));
         rows
     }
@@ -79,10 +79,10 @@
     let mut c = Chain::new(NodeId(0), records.to_vec(), Time(0));
     let old = c.view.clone()?;
     let me = c.node_id;
-    let no = ViewNo(old.no.0 + RESTORED_VIEW_STEP);
+    let view_no = ViewNo(old.no.0 + RESTORED_VIEW_STEP);
     c.acceptor = Acceptor::default();
-    c.view = Some(View { no, chain: vec![me], voters: vec![me] });
-    c.ready_in_view = Some(no);
+    c.view = Some(View { no: view_no, chain: vec![me], voters: vec![me] });
+    c.ready_in_view = Some(view_no);
     let state = c.restored_state.as_deref().cloned().unwrap_or_default();
     Some(c.records(&state))
 }
--- a/src/chain/replicate.rs
+++ b/src/chain/replicate.rs
@@ -2,7 +2,7 @@
 
 use super::core::Chain;
 use super::heartbeat::MIN_WRITE_BYTES;
-use super::replication_log::Fit;
+use super::replication_log::EntryFit;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
@@ -79,8 +79,8 @@
             return;
         }
         self.successor.note_sent(last.at, ctx.now);
-        let upto = self.log.last();
-        ctx.chain(to, ChainMsg::Append { view, first: false, upto, entries });
+        let log_last = self.log.last();
+        ctx.chain(to, ChainMsg::Append { view, is_announcement: false, log_last, entries });
     }
 
     fn can_append(&self, ctx: &Context) -> bool {
@@ -95,8 +95,8 @@
     pub fn announce_log_end(&mut self, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
         let Some(next) = view.after(self.node_id) else { return };
-        let upto = self.log.last();
-        ctx.chain(next, ChainMsg::Append { view: view.no, first: true, upto, entries: vec![] });
+        let log_last = self.log.last();
+        ctx.chain(next, ChainMsg::Append { view: view.no, is_announcement: true, log_last, entries: vec![] });
     }
 
     pub fn report_progress(&mut self, ctx: &mut Context) {
@@ -108,21 +108,31 @@
         ctx.chain(prev, ChainMsg::Progress { view, synced, committed, synced_to_tail });
     }
 
-    pub fn on_append(&mut self, from: NodeId, no: ViewNo, upto: Version, rows: &[Entry], ctx: &mut Context) {
+    pub fn on_append(
+        &mut self,
+        from: NodeId,
+        view_no: ViewNo,
+        log_last: Version,
+        rows: &[Entry],
+        ctx: &mut Context,
+    ) {
         let Some(view) = self.view.clone() else { return };
-        if view.no != no || view.before(self.node_id) != Some(from) || ctx.free_disk_bytes < MIN_WRITE_BYTES {
+        if view.no != view_no
+            || view.before(self.node_id) != Some(from)
+            || ctx.free_disk_bytes < MIN_WRITE_BYTES
+        {
             return;
         }
         let mut added = Vec::new();
         for e in rows {
-            match self.log.fit(e) {
-                Fit::Next => {
+            match self.log.classify(e) {
+                EntryFit::Next => {
                     self.append_entry(e.clone(), ctx);
                     added.push(e.clone());
                 }
-                Fit::Known => {}
-                Fit::Gap => break,
-                Fit::Clash => {
+                EntryFit::AlreadyHeld => {}
+                EntryFit::Gap => break,
+                EntryFit::Conflict => {
                     let why = format!("entry {} differs from the one before it in the chain", e.at);
                     ctx.effects.push(Effect::Reset(why));
                     return;
@@ -130,23 +140,23 @@
             }
         }
         let last = self.log.last();
-        if !self.is_ready && last >= upto {
+        if !self.is_ready && last >= log_last {
             self.is_ready = true;
             self.ready_since = ctx.now;
-            self.save_ready(no, ctx);
-            ctx.log_event("chain-ready", format!("{last} in {no}"));
+            self.save_ready(view_no, ctx);
+            ctx.log_event("chain-ready", format!("{last} in {view_no}"));
         }
         if let Some(next) = view.after(self.node_id) {
-            self.forward(next, no, added, ctx);
+            self.forward(next, view_no, added, ctx);
         }
         self.commit_if_tail(ctx);
         self.report_progress(ctx);
     }
 
     pub fn on_progress(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
-        let ChainMsg::Progress { view: no, synced, committed, synced_to_tail } = *msg else { return };
+        let ChainMsg::Progress { view: view_no, synced, committed, synced_to_tail } = *msg else { return };
         let Some(view) = self.view.clone() else { return };
-        if view.no != no || view.after(self.node_id) != Some(from) {
+        if view.no != view_no || view.after(self.node_id) != Some(from) {
             return;
         }
         if synced > self.log.last() {
@@ -160,21 +170,21 @@
         if synced == self.log.last() {
             return;
         }
-        self.catch_up(from, no, synced, ctx);
+        self.catch_up(from, view_no, synced, ctx);
     }
 
     /// Sends what the next member lacks, unless that is under way already.
     fn catch_up(&mut self, to: NodeId, view: ViewNo, synced: Version, ctx: &mut Context) {
-        let Some(entries) = self.log.after(synced) else { return self.send_snapshot(to, ctx) };
+        let Some(entries) = self.log.entries_after(synced) else { return self.send_snapshot(to, ctx) };
         if self.successor.is_under_way(ctx.now, RESEND_AFTER) {
             return;
         }
-        let upto = self.log.last();
+        let log_last = self.log.last();
         if let Some(last) = entries.last() {
             self.successor.waits_since = ctx.now;
             self.successor.note_sent(last.at, ctx.now);
         }
-        ctx.chain(to, ChainMsg::Append { view, first: false, upto, entries });
+        ctx.chain(to, ChainMsg::Append { view, is_announcement: false, log_last, entries });
     }
 
     fn send_snapshot(&mut self, to: NodeId, ctx: &mut Context) {
--- a/src/chain/replication_log.rs
+++ b/src/chain/replication_log.rs
@@ -6,15 +6,15 @@
 use std::collections::VecDeque;
 
 /// The rows after which committed entries give way to a snapshot.
-pub const ROWS_MAX: usize = 512;
+pub const MAX_ROWS: usize = 512;
 /// The bytes after which committed entries give way to a snapshot. The largest entry that was measured (1,500
 /// routes) takes 0.49 MB in memory and 0.32 MB on the disk, and a snapshot as much.
-pub const BYTES_MAX: usize = 8 << 20;
+pub const MAX_BYTES: usize = 8 << 20;
 /// The bytes of entries in one message: a link of 10 Mbit/s carries them in a fifth of a second, well within the
 /// time after which a silent peer counts as lost.
-pub const MESSAGE_BYTES_MAX: usize = 256 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 256 << 10;
 
-const MESSAGE_ROWS_MAX: usize = 64;
+const MAX_MESSAGE_ROWS: usize = 64;
 
 /// The entries from the one after `base`. All before it are in the snapshot at `base`.
 #[derive(Clone, Default)]
@@ -22,28 +22,28 @@
     /// The number of the last entry that the snapshot covers.
     pub base: Version,
     /// The view in which that entry was placed.
-    pub tag: ViewNo,
+    pub base_view: ViewNo,
     entries: VecDeque<Entry>,
     bytes: usize,
 }
 
 /// How an entry that was received fits to those that are held.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Fit {
+pub enum EntryFit {
     /// It is the next one.
     Next,
     /// It is held already.
-    Known,
+    AlreadyHeld,
     /// Entries before it are missing.
     Gap,
     /// Another entry is held under its number.
-    Clash,
+    Conflict,
 }
 
 impl ReplicationLog {
     /// A log that begins behind a snapshot.
-    pub fn behind(base: Version, tag: ViewNo) -> ReplicationLog {
-        ReplicationLog { base, tag, ..ReplicationLog::default() }
+    pub fn after_snapshot(base: Version, base_view: ViewNo) -> ReplicationLog {
+        ReplicationLog { base, base_view, ..ReplicationLog::default() }
     }
 
     /// The number of the last entry.
@@ -57,7 +57,7 @@
     }
 
     /// How many entries there are.
-    pub fn rows(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.entries.len()
     }
 
@@ -79,29 +79,29 @@
     }
 
     /// How an entry fits.
-    pub fn fit(&self, entry: &Entry) -> Fit {
+    pub fn classify(&self, entry: &Entry) -> EntryFit {
         if entry.at == self.last().next() {
-            return Fit::Next;
+            return EntryFit::Next;
         }
         if entry.at > self.last() {
-            return Fit::Gap;
+            return EntryFit::Gap;
         }
         match self.get(entry.at) {
-            Some(old) if old.view != entry.view => Fit::Clash,
-            _ => Fit::Known,
+            Some(old) if old.view != entry.view => EntryFit::Conflict,
+            _ => EntryFit::AlreadyHeld,
         }
     }
 
     /// The entries behind a number, as many as one message takes and at least one; nothing if the log begins later.
-    pub fn after(&self, at: Version) -> Option<Vec<Entry>> {
+    pub fn entries_after(&self, at: Version) -> Option<Vec<Entry>> {
         let skip = at.0.checked_sub(self.base.0)? as usize;
         let mut bytes = 0;
         let fits = |entry: &&Entry| {
             let first = bytes == 0;
             bytes += entry.change.size_estimate();
-            first || bytes <= MESSAGE_BYTES_MAX
+            first || bytes <= MAX_MESSAGE_BYTES
         };
-        Some(self.entries.iter().skip(skip).take(MESSAGE_ROWS_MAX).take_while(fits).cloned().collect())
+        Some(self.entries.iter().skip(skip).take(MAX_MESSAGE_ROWS).take_while(fits).cloned().collect())
     }
 
     /// The bytes of all entries behind a number.
@@ -114,14 +114,14 @@
     /// ones, and at least half goes.
     pub fn is_trim_due(&self, committed: Version) -> bool {
         let going = committed.0.saturating_sub(self.base.0) as usize;
-        let too_many = self.rows() >= ROWS_MAX && going >= ROWS_MAX / 2;
-        let too_large = self.bytes >= BYTES_MAX && 2 * going >= self.rows();
+        let too_many = self.entry_count() >= MAX_ROWS && going >= MAX_ROWS / 2;
+        let too_large = self.bytes >= MAX_BYTES && 2 * going >= self.entry_count();
         too_many || too_large
     }
 
     /// Whether the log is so full of entries that are not committed that no more may be placed.
     pub fn is_full(&self) -> bool {
-        self.bytes >= 2 * BYTES_MAX
+        self.bytes >= 2 * MAX_BYTES
     }
 
     /// Drops the entries up to a number, which a snapshot now covers.
@@ -130,7 +130,7 @@
             if let Some(entry) = self.entries.pop_front() {
                 self.bytes -= entry.change.size_estimate();
                 self.base = entry.at;
-                self.tag = entry.view;
+                self.base_view = entry.view;
             }
         }
     }
--- a/src/chain/serving_leases.rs
+++ b/src/chain/serving_leases.rs
@@ -114,12 +114,12 @@
     }
 
     /// Records applications, and passes them on; the tail grants them.
-    fn applied(&mut self, no: ViewNo, rows: &[LeaseApplication], ctx: &mut Context) {
-        let Some(view) = self.current_view(ctx).filter(|v| v.no == no) else { return };
+    fn applied(&mut self, view_no: ViewNo, rows: &[LeaseApplication], ctx: &mut Context) {
+        let Some(view) = self.current_view(ctx).filter(|v| v.no == view_no) else { return };
         self.history.follow(&ctx.views.state);
         if let Some(next) = view.after(ctx.me.node) {
             rows.iter().for_each(|a| self.record(a, ctx));
-            return ctx.chain(next, ChainMsg::LeaseApplications { view: no, rows: rows.to_vec() });
+            return ctx.chain(next, ChainMsg::LeaseApplications { view: view_no, rows: rows.to_vec() });
         }
         if self.leads(ctx) {
             rows.iter().for_each(|a| self.judge(a, ctx));
--- a/src/chain/view_change.rs
+++ b/src/chain/view_change.rs
@@ -32,11 +32,11 @@
 #[derive(Clone)]
 pub struct ViewProposal {
     /// The number proposed.
-    pub no: ViewNo,
+    pub view_no: ViewNo,
     /// The ballot, this node's alone.
     pub ballot: Ballot,
     /// The view to be accepted.
-    pub want: View,
+    pub proposed_view: View,
     /// The voters that promised.
     pub promises: BTreeSet<NodeId>,
     /// What was accepted under the highest ballot among those promises.
@@ -44,13 +44,13 @@
     /// The voters that accepted.
     pub accepts: BTreeSet<NodeId>,
     /// Whether `Accept` was sent.
-    pub sent: bool,
+    pub is_accept_sent: bool,
     /// When the proposal began.
-    pub since: Time,
+    pub started_at: Time,
     /// The member because of whose silence the view is to change.
-    pub lost: Option<NodeId>,
+    pub lost_member: Option<NodeId>,
     /// When `Prepare` was sent last.
-    pub asked: Time,
+    pub prepare_sent_at: Time,
 }
 
 impl Chain {
@@ -63,7 +63,7 @@
         if self.proposal.is_some() {
             return self.repeat_prepare(ctx);
         }
-        if ctx.now < self.acceptor.rest {
+        if ctx.now < self.acceptor.backoff_until {
             return;
         }
         if self.awaits_first_vote(ctx) {
@@ -103,54 +103,60 @@
     /// Says `Prepare` again: voters may still hear the member that is to be left out, or not know this view yet.
     fn repeat_prepare(&mut self, ctx: &mut Context) {
         let Some(proposal) = &self.proposal else { return };
-        let (no, ballot, lost) = (proposal.no, proposal.ballot, proposal.lost);
-        if proposal.sent || ctx.now.since(proposal.asked) < PREPARE_INTERVAL {
+        let (view_no, ballot, lost_member) = (proposal.view_no, proposal.ballot, proposal.lost_member);
+        if proposal.is_accept_sent || ctx.now.since(proposal.prepare_sent_at) < PREPARE_INTERVAL {
             return;
         }
-        let quiet = lost.map_or(Span(0), |n| self.silence(n, ctx.now));
-        self.send_to_voters(ChainMsg::Prepare { no, ballot, lost, quiet }, ctx);
+        let silence = lost_member.map_or(Span(0), |n| self.silence(n, ctx.now));
+        self.send_to_voters(ChainMsg::Prepare { view_no, ballot, lost_member, silence }, ctx);
     }
 
     /// Begins a proposal of `want`. The ballot is saved first; the kernel sends nothing before it is synced.
-    pub fn propose_view(&mut self, want: View, lost: Option<NodeId>, quiet: Span, ctx: &mut Context) {
+    pub fn propose_view(
+        &mut self,
+        want: View,
+        lost_member: Option<NodeId>,
+        silence: Span,
+        ctx: &mut Context,
+    ) {
         let Some(view) = self.view.clone() else { return };
         if !self.can_write(ctx) || !self.has_writing_majority(ctx) {
             return;
         }
-        let round = self.acceptor.top.max(self.acceptor.promised.round) + 1;
+        let round = self.acceptor.highest_round.max(self.acceptor.promised.round) + 1;
         let ballot = Ballot { round, node: self.node_id };
-        let no = view.no.next();
-        self.acceptor.top = round;
-        self.acceptor.no = no;
+        let view_no = view.no.next();
+        self.acceptor.highest_round = round;
+        self.acceptor.view_no = view_no;
         self.acceptor.promised = ballot;
-        ctx.save(Record::Promise { no, ballot });
+        ctx.save(Record::Promise { view_no, ballot });
         ctx.log_event("proposal", format!("{want} by {}", self.node_id));
         self.proposal = Some(ViewProposal {
-            no,
+            view_no,
             ballot,
-            want,
+            proposed_view: want,
             promises: BTreeSet::new(),
             accepted: None,
             accepts: BTreeSet::new(),
-            sent: false,
-            since: ctx.now,
-            lost,
-            asked: ctx.now,
+            is_accept_sent: false,
+            started_at: ctx.now,
+            lost_member,
+            prepare_sent_at: ctx.now,
         });
-        self.send_to_voters(ChainMsg::Prepare { no, ballot, lost, quiet }, ctx);
+        self.send_to_voters(ChainMsg::Prepare { view_no, ballot, lost_member, silence }, ctx);
     }
 
     /// Counts a promise; with a majority of them asks the voters to accept.
     pub fn on_promise(
         &mut self,
         from: NodeId,
-        no: ViewNo,
+        view_no: ViewNo,
         ballot: Ballot,
         accepted: &Option<AcceptedView>,
         ctx: &mut Context,
     ) {
         let (Some(view), Some(proposal)) = (&self.view, &mut self.proposal) else { return };
-        if proposal.no != no || proposal.ballot != ballot || !view.voters.contains(&from) {
+        if proposal.view_no != view_no || proposal.ballot != ballot || !view.voters.contains(&from) {
             return;
         }
         proposal.promises.insert(from);
@@ -159,29 +165,29 @@
         {
             proposal.accepted = Some(theirs.clone());
         }
-        if proposal.promises.len() < view.majority() || proposal.sent {
+        if proposal.promises.len() < view.majority() || proposal.is_accept_sent {
             return;
         }
-        proposal.sent = true;
+        proposal.is_accept_sent = true;
         if let Some(accepted) = &proposal.accepted {
-            proposal.want = accepted.view.clone();
+            proposal.proposed_view = accepted.view.clone();
         }
         for node in &view.voters {
-            ctx.chain(*node, ChainMsg::Accept { ballot, view: proposal.want.clone() });
+            ctx.chain(*node, ChainMsg::Accept { ballot, view: proposal.proposed_view.clone() });
         }
     }
 
     /// Counts an acceptance; with a majority of them the view is decided.
-    pub fn on_accepted(&mut self, from: NodeId, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
+    pub fn on_accepted(&mut self, from: NodeId, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) {
         let (Some(view), Some(proposal)) = (self.view.clone(), &mut self.proposal) else { return };
-        if proposal.no != no || proposal.ballot != ballot || !view.voters.contains(&from) {
+        if proposal.view_no != view_no || proposal.ballot != ballot || !view.voters.contains(&from) {
             return;
         }
         proposal.accepts.insert(from);
         if proposal.accepts.len() < view.majority() {
             return;
         }
-        let decided = proposal.want.clone();
+        let decided = proposal.proposed_view.clone();
         self.install(decided.clone(), ctx);
         let mut all = view.all();
         all.extend(decided.all());
@@ -194,7 +200,7 @@
 
     fn send_to_voters(&mut self, msg: ChainMsg, ctx: &mut Context) {
         let (Some(view), Some(proposal)) = (&self.view, &mut self.proposal) else { return };
-        proposal.asked = ctx.now;
+        proposal.prepare_sent_at = ctx.now;
         for node in &view.voters {
             ctx.chain(*node, msg.clone());
         }
@@ -241,11 +247,11 @@
     }
 
     /// Gives way to a higher ballot for a while.
-    pub fn on_nack(&mut self, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
-        self.acceptor.top = self.acceptor.top.max(ballot.round);
-        if self.proposal.as_ref().is_some_and(|b| b.no == no && b.ballot < ballot) {
+    pub fn on_nack(&mut self, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) {
+        self.acceptor.highest_round = self.acceptor.highest_round.max(ballot.round);
+        if self.proposal.as_ref().is_some_and(|b| b.view_no == view_no && b.ballot < ballot) {
             self.proposal = None;
-            self.acceptor.rest = ctx.now + BACKOFF + Span::ms(ctx.rand.below(BACKOFF_JITTER_MS));
+            self.acceptor.backoff_until = ctx.now + BACKOFF + Span::ms(ctx.rand.below(BACKOFF_JITTER_MS));
         }
     }
 }
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -66,11 +66,11 @@
     /// Waits until this controller has left the chain, at most until `due`, and logs what stands elsewhere.
     async fn leave(&self, due: Time) {
         let state = || *self.departure.lock().unwrap();
-        while !state().done && self.clock.now() < due {
+        while !state().is_done && self.clock.now() < due {
             tokio::time::sleep(LOOK).await;
         }
         let now = state();
-        if now.done {
+        if now.is_done {
             return log::info!(event = "left-the-chain", state = now.to_string(); "");
         }
         let remedy = "bring this machine back with its disk, or add another and wait until it is ready";
--- a/src/explore/delivery.rs
+++ b/src/explore/delivery.rs
@@ -109,7 +109,7 @@
                     self.restart(place);
                     return vec![];
                 }
-                Effect::Leaving(departure) if departure.done => {
+                Effect::Leaving(departure) if departure.is_done => {
                     self.left(place, departure);
                     return vec![];
                 }
@@ -137,7 +137,7 @@
 
     /// A member that has left ends. If it said that the others can go on without it, its disk goes with it.
     fn left(&mut self, place: usize, departure: Departure) {
-        let suffices = departure.copies >= departure.copies_wanted && departure.votes >= departure.majority;
+        let suffices = departure.copies >= departure.required_copies && departure.votes >= departure.majority;
         self.crash(place, Unsynced::Kept);
         if suffices {
             self.replica(place).wipe();
--- a/src/explore/digest.rs
+++ b/src/explore/digest.rs
@@ -90,7 +90,7 @@
 
 fn hash_chain(chain: &Chain, clock: &Clock, hasher: &mut DefaultHasher) {
     hash_view(chain.view.as_ref(), hasher);
-    (chain.fleet, chain.log.last(), chain.log.base, chain.committed, chain.inherited_upto).hash(hasher);
+    (chain.fleet, chain.log.last(), chain.log.base, chain.committed, chain.inherited_up_to).hash(hasher);
     for entry in chain.log.iter() {
         (entry.at, entry.view).hash(hasher);
     }
@@ -99,21 +99,21 @@
     clock.of_all(&chain.last_reached_at, hasher);
     let (sent, waits_since) = chain.successor.under_way();
     (sent, clock.of(waits_since)).hash(hasher);
-    let leaving = chain.peers.iter().filter(|p| p.1.leaving).map(|p| *p.0);
+    let leaving = chain.peers.iter().filter(|p| p.1.is_leaving).map(|p| *p.0);
     leaving.collect::<Vec<_>>().hash(hasher);
-    chain.departure.map(|d| (d.done, d.copies, d.votes)).hash(hasher);
+    chain.departure.map(|d| (d.is_done, d.copies, d.votes)).hash(hasher);
     clock.of(chain.ready_since).hash(hasher);
     for time in [
         chain.heartbeat_sent_at,
         chain.ticked_at,
         chain.view_installed_at,
         chain.started_at,
-        chain.lease.until,
+        chain.lease.valid_until,
     ] {
         clock.of(time).hash(hasher);
     }
-    clock.of(chain.lease.asked).hash(hasher);
-    clock.of(chain.lease.returned).hash(hasher);
+    clock.of(chain.lease.requested_at).hash(hasher);
+    clock.of(chain.lease.returned_at).hash(hasher);
     clock.of_all(&chain.lease.grants, hasher);
     hash_acceptor(chain, clock, hasher);
     hash_proposal(chain, clock, hasher);
@@ -141,11 +141,16 @@
     let acceptor = &chain.acceptor;
     hash_ballot(&acceptor.promised, hasher);
     hash_accepted(acceptor.accepted.as_ref(), hasher);
-    for time in [acceptor.accepted_at, acceptor.hold, acceptor.pause, acceptor.rest] {
+    for time in [
+        acceptor.accepted_at,
+        acceptor.lease_hold_until,
+        acceptor.grants_paused_until,
+        acceptor.backoff_until,
+    ] {
         clock.of(time).hash(hasher);
     }
-    acceptor.granted.map(|(tail, sent)| (tail, clock.of(sent))).hash(hasher);
-    acceptor.top.hash(hasher);
+    acceptor.granted_lease.map(|(tail, sent)| (tail, clock.of(sent))).hash(hasher);
+    acceptor.highest_round.hash(hasher);
     if let Some(deferred) = &acceptor.deferred {
         (deferred.from, clock.of(deferred.since)).hash(hasher);
         hash_accepted(Some(&deferred.proposal), hasher);
@@ -155,25 +160,25 @@
 fn hash_proposal(chain: &Chain, clock: &Clock, hasher: &mut DefaultHasher) {
     let Some(proposal) = &chain.proposal else { return };
     hash_ballot(&proposal.ballot, hasher);
-    hash_view(Some(&proposal.want), hasher);
+    hash_view(Some(&proposal.proposed_view), hasher);
     hash_accepted(proposal.accepted.as_ref(), hasher);
-    (&proposal.promises, &proposal.accepts, proposal.sent, proposal.lost).hash(hasher);
-    (clock.of(proposal.since), clock.of(proposal.asked)).hash(hasher);
+    (&proposal.promises, &proposal.accepts, proposal.is_accept_sent, proposal.lost_member).hash(hasher);
+    (clock.of(proposal.started_at), clock.of(proposal.prepare_sent_at)).hash(hasher);
 }
 
 fn hash_newcomer(chain: &Chain, clock: &Clock, hasher: &mut DefaultHasher) {
     let (joiner, founder) = (&chain.joiner, &chain.founder);
-    (joiner.following, clock.of(joiner.asked)).hash(hasher);
-    clock.of_all(&joiner.met, hasher);
+    (joiner.is_following, clock.of(joiner.asked_at)).hash(hasher);
+    clock.of_all(&joiner.answered_at, hasher);
     founder.pledge.hash(hasher);
-    clock.of_all(&founder.pledges, hasher);
-    for (node, (empty, at)) in &founder.answers {
+    clock.of_all(&founder.pledged_at, hasher);
+    for (node, (empty, at)) in &founder.seed_answers {
         (node, empty, clock.of(*at)).hash(hasher);
     }
-    for time in [founder.asked, founder.heard, founder.began, founder.grown] {
+    for time in [founder.asked_at, founder.founder_heard_at, founder.began_at, founder.grown_at] {
         clock.of(time).hash(hasher);
     }
-    founder.known.hash(hasher);
+    founder.known_controllers.hash(hasher);
 }
 
 fn hash_state(state: &FleetState, hasher: &mut DefaultHasher) {
--- a/src/explore/flight.rs
+++ b/src/explore/flight.rs
@@ -44,14 +44,14 @@
     pub fn name(&self) -> &'static str {
         let Msg::Chain(msg) = &*self.msg else { return "other" };
         match msg {
-            ChainMsg::Pledge { .. } => "pledge request",
-            ChainMsg::Pledged { .. } => "pledge",
+            ChainMsg::PledgeRequest { .. } => "pledge request",
+            ChainMsg::PledgeReply { .. } => "pledge",
             ChainMsg::Append { .. } => "append",
             ChainMsg::Progress { .. } => "progress",
             ChainMsg::Heartbeat { .. } => "heartbeat",
-            ChainMsg::Join { .. } => "join",
+            ChainMsg::JoinRequest { .. } => "join",
             ChainMsg::Snapshot { .. } => "snapshot",
-            ChainMsg::Follow { .. } => "follow",
+            ChainMsg::CatchUp { .. } => "follow",
             ChainMsg::Prepare { .. } => "prepare",
             ChainMsg::Promise { .. } => "promise",
             ChainMsg::Accept { .. } => "accept",
@@ -80,7 +80,7 @@
         ChainMsg::Heartbeat { .. } => Some(RepeatedKind::Heartbeat),
         ChainMsg::Append { entries, .. } if entries.is_empty() => Some(RepeatedKind::EmptyAppend),
         ChainMsg::Progress { .. } => Some(RepeatedKind::Progress),
-        ChainMsg::Join { .. } | ChainMsg::JoinHeard => Some(RepeatedKind::Join),
+        ChainMsg::JoinRequest { .. } | ChainMsg::JoinAck => Some(RepeatedKind::Join),
         _ => None,
     }
 }
@@ -91,7 +91,7 @@
     let Msg::Chain(msg) = msg else { return true };
     match msg {
         ChainMsg::Heartbeat { .. } | ChainMsg::Progress { .. } => false,
-        ChainMsg::JoinHeard | ChainMsg::Join { .. } => false,
+        ChainMsg::JoinAck | ChainMsg::JoinRequest { .. } => false,
         ChainMsg::ReadIndexRequest { .. } | ChainMsg::ReadIndexReply { .. } => false,
         ChainMsg::LeaseRequest { .. } | ChainMsg::LeaseGrant { .. } => leases,
         ChainMsg::LeaseReturned { .. } => leases,
@@ -112,8 +112,10 @@
     match msg {
         ChainMsg::LeaseRequest { sent, .. }
         | ChainMsg::LeaseReturned { sent, .. }
-        | ChainMsg::Pledge { sent, .. } => Some((Owner::Sender, *sent)),
-        ChainMsg::LeaseGrant { sent, .. } | ChainMsg::Pledged { sent, .. } => Some((Owner::Receiver, *sent)),
+        | ChainMsg::PledgeRequest { sent, .. } => Some((Owner::Sender, *sent)),
+        ChainMsg::LeaseGrant { sent, .. } | ChainMsg::PledgeReply { sent, .. } => {
+            Some((Owner::Receiver, *sent))
+        }
         _ => None,
     }
 }
@@ -122,10 +124,10 @@
     let Msg::Chain(msg) = msg else { return };
     match msg {
         ChainMsg::LeaseRequest { sent, .. }
-        | ChainMsg::Pledge { sent, .. }
+        | ChainMsg::PledgeRequest { sent, .. }
         | ChainMsg::LeaseGrant { sent, .. }
         | ChainMsg::LeaseReturned { sent, .. }
-        | ChainMsg::Pledged { sent, .. } => *sent = Time(0),
+        | ChainMsg::PledgeReply { sent, .. } => *sent = Time(0),
         _ => {}
     }
 }
--- a/src/kernel/hold.rs
+++ b/src/kernel/hold.rs
@@ -107,7 +107,7 @@
             | ChainMsg::LeaseRequest { .. }
             | ChainMsg::LeaseGrant { .. }
             | ChainMsg::LeaseReturned { .. }
-            | ChainMsg::JoinHeard
+            | ChainMsg::JoinAck
     )
 }
 
--- a/src/sim/hurts_more.rs
+++ b/src/sim/hurts_more.rs
@@ -173,7 +173,7 @@
     if !w.fits(n, life) {
         return;
     }
-    let left = w.nodes[n].role == Role::Router || w.nodes[n].departure.is_some_and(|d| d.done);
+    let left = w.nodes[n].role == Role::Router || w.nodes[n].departure.is_some_and(|d| d.is_done);
     if left || w.now >= due {
         return w.kill_node(n);
     }
--- a/src/sim/record.rs
+++ b/src/sim/record.rs
@@ -114,7 +114,7 @@
     /// What is judged of a message as it leaves a node, in this life of its process.
     pub fn of_message(life: u64, msg: &Msg) -> Option<Fact> {
         match msg {
-            Msg::Chain(ChainMsg::Prepare { no, ballot, .. }) => {
+            Msg::Chain(ChainMsg::Prepare { view_no: no, ballot, .. }) => {
                 Some(Fact::PrepareSent { life, no: *no, ballot: *ballot })
             }
             Msg::Chain(ChainMsg::Accept { ballot, view }) => {
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -55,8 +55,8 @@
         Msg::UpdatePush { items } => part(UPDATE_PUSH, items, coder, body),
         Msg::ServingLeaseRequest(request) => part(LEASE_REQUEST, request, coder, body),
         Msg::ServingLeaseGrant(grant) => part(LEASE_GRANT, grant, coder, body),
-        Msg::Chain(ChainMsg::Heartbeat { view, room, impaired, leaving }) => {
-            part(HEARTBEAT, &(*view, *room, *impaired, *leaving), coder, body)
+        Msg::Chain(ChainMsg::Heartbeat { view, has_room, is_impaired, is_leaving }) => {
+            part(HEARTBEAT, &(*view, *has_room, *is_impaired, *is_leaving), coder, body)
         }
         Msg::Chain(ChainMsg::Progress { view, synced, committed, synced_to_tail }) => {
             part(PROGRESS, &(*view, *synced, *committed, *synced_to_tail), coder, body)
@@ -130,8 +130,8 @@
         LEASE_REQUEST => Msg::ServingLeaseRequest(coder.decode(raw).ok()?),
         LEASE_GRANT => Msg::ServingLeaseGrant(coder.decode(raw).ok()?),
         HEARTBEAT => {
-            let (view, room, impaired, leaving) = coder.decode(raw).ok()?;
-            Msg::Chain(ChainMsg::Heartbeat { view, room, impaired, leaving })
+            let (view, has_room, is_impaired, is_leaving) = coder.decode(raw).ok()?;
+            Msg::Chain(ChainMsg::Heartbeat { view, has_room, is_impaired, is_leaving })
         }
         PROGRESS => {
             let (view, synced, committed, synced_to_tail) = coder.decode(raw).ok()?;
--- a/tests/hold.rs
+++ b/tests/hold.rs
@@ -7,7 +7,7 @@
 fn send() -> Effect {
     Effect::Send {
         to: NodeId(2),
-        msg: Msg::Chain(ChainMsg::Nack { no: ViewNo(1), ballot: Ballot::default() }),
+        msg: Msg::Chain(ChainMsg::Nack { view_no: ViewNo(1), ballot: Ballot::default() }),
     }
 }
 
@@ -60,8 +60,8 @@
     let chain = |msg| Effect::Send { to: NodeId(2), msg: Msg::Chain(msg) };
     let (out, _) = hold.submit(now, vec![save()]);
     assert!(out.is_empty());
-    let beat = ChainMsg::Heartbeat { view: ViewNo(1), room: false, impaired: true, leaving: false };
-    let vote = ChainMsg::Accepted { no: ViewNo(2), ballot: Ballot::default() };
+    let beat = ChainMsg::Heartbeat { view: ViewNo(1), has_room: false, is_impaired: true, is_leaving: false };
+    let vote = ChainMsg::Accepted { view_no: ViewNo(2), ballot: Ballot::default() };
     let grant = ChainMsg::LeaseGrant { view: ViewNo(1), sent: now };
     let (out, _) = hold.submit(now + STUCK_AFTER, vec![chain(beat), chain(vote), chain(grant)]);
     let left: Vec<bool> = out
--- a/tests/input_queue.rs
+++ b/tests/input_queue.rs
@@ -36,7 +36,7 @@
 }
 
 fn heartbeat(from: u64) -> Event {
-    let beat = ChainMsg::Heartbeat { view: ViewNo(1), room: true, impaired: false, leaving: false };
+    let beat = ChainMsg::Heartbeat { view: ViewNo(1), has_room: true, is_impaired: false, is_leaving: false };
     mail(from, Msg::Chain(beat))
 }
 
--- a/tests/lease_return.rs
+++ b/tests/lease_return.rs
@@ -116,7 +116,8 @@
 fn leased_tail() -> (Node, Time) {
     let mut tail = member(TAIL);
     for voter in [HEAD, MIDDLE] {
-        let beat = ChainMsg::Heartbeat { view: ViewNo(1), room: true, impaired: false, leaving: false };
+        let beat =
+            ChainMsg::Heartbeat { view: ViewNo(1), has_room: true, is_impaired: false, is_leaving: false };
         hear(&mut tail, NOW, voter, beat);
     }
     tail.feed(NOW, Event::Tick);
@@ -133,7 +134,7 @@
 }
 
 fn prepare() -> ChainMsg {
-    ChainMsg::Prepare { no: ViewNo(2), ballot: BALLOT, lost: Some(TAIL), quiet: Span::ms(700) }
+    ChainMsg::Prepare { view_no: ViewNo(2), ballot: BALLOT, lost_member: Some(TAIL), silence: Span::ms(700) }
 }
 
 #[test]
--- a/tests/storm.rs
+++ b/tests/storm.rs
@@ -6,7 +6,7 @@
 
 use adopt::Office;
 use common::{ident, seeded, sound, view};
-use spindledock::chain::replication_log::BYTES_MAX;
+use spindledock::chain::replication_log::MAX_BYTES;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::{Deployment, quebec, vanua};
 
@@ -38,8 +38,8 @@
 fn judge_bounds(office: &Office) {
     for n in office.w.controllers() {
         let (log, disk) = (status(office, n, "log_bytes"), office.w.nodes[n].disk.bytes());
-        assert!(log <= BYTES_MAX + SLACK, "the log of {n} takes {log} bytes");
-        assert!(disk <= 2 * (BYTES_MAX + SLACK), "the disk of {n} takes {disk} bytes");
+        assert!(log <= MAX_BYTES + SLACK, "the log of {n} takes {log} bytes");
+        assert!(disk <= 2 * (MAX_BYTES + SLACK), "the disk of {n} takes {disk} bytes");
         let kept = office.w.nodes[n].node.as_ref().map_or(0, |x| x.journal.kept());
         assert!(kept < 1000, "the journal of {n} keeps {kept} events");
     }
