--- a/src/chain/adoption_queue.rs
+++ b/src/chain/adoption_queue.rs
@@ -17,7 +17,7 @@
 
 /// An order that is to be decided on.
 #[derive(Clone)]
-pub(super) struct WaitingOrder {
+pub(super) struct WaitingAdoption {
     pub id: ChangeId,
     pub base: Option<u64>,
     pub part: bool,
@@ -26,22 +26,22 @@
     pub revision: OnceLock<Option<u64>>,
     pub since: Time,
     /// When its refusal was handed to the chain.
-    pub refusing: Option<Time>,
+    pub refusal_submitted_at: Option<Time>,
 }
 
-impl WaitingOrder {
+impl WaitingAdoption {
     pub fn revision(&self, side: Option<&dyn OperatorProtocol>) -> Option<u64> {
         *self.revision.get_or_init(|| side?.revision(&self.text))
     }
 
-    fn makes(&self, revision: u64, side: Option<&dyn OperatorProtocol>) -> bool {
+    fn yields_revision(&self, revision: u64, side: Option<&dyn OperatorProtocol>) -> bool {
         self.base.is_none_or(|base| base < revision) && self.revision(side) == Some(revision)
     }
 }
 
 /// The order whose adoption was handed to the chain.
 #[derive(Clone)]
-pub(super) struct UnderWay {
+pub(super) struct SubmittedAdoption {
     pub id: ChangeId,
     pub since: Time,
     pub revision: u64,
@@ -51,9 +51,9 @@
 #[derive(Clone, Default)]
 pub struct AdoptionQueue {
     pub(super) side: Option<Arc<dyn OperatorProtocol>>,
-    pub(super) orders: Vec<WaitingOrder>,
-    pub(super) under_way: Option<UnderWay>,
-    live: BTreeMap<NodeId, (Time, Vec<RouteTraffic>)>,
+    pub(super) waiting: Vec<WaitingAdoption>,
+    pub(super) submitted: Option<SubmittedAdoption>,
+    live_routes: BTreeMap<NodeId, (Time, Vec<RouteTraffic>)>,
 }
 
 impl AdoptionQueue {
@@ -63,49 +63,49 @@
     }
 
     /// Whether the order waits here or is on its way.
-    pub fn holds(&self, id: ChangeId) -> bool {
-        self.orders.iter().any(|order| order.id == id)
-            || self.under_way.as_ref().is_some_and(|order| order.id == id)
+    pub fn contains(&self, id: ChangeId) -> bool {
+        self.waiting.iter().any(|adoption| adoption.id == id)
+            || self.submitted.as_ref().is_some_and(|adoption| adoption.id == id)
     }
 
     /// Notes that the order's adoption or refusal was committed.
-    pub fn committed(&mut self, id: ChangeId) {
-        if self.under_way.as_ref().is_some_and(|order| order.id == id) {
-            self.under_way = None;
+    pub fn on_committed(&mut self, id: ChangeId) {
+        if self.submitted.as_ref().is_some_and(|adoption| adoption.id == id) {
+            self.submitted = None;
         }
-        for order in self.orders.iter_mut().filter(|order| order.id == id) {
-            order.refusing = None;
+        for adoption in self.waiting.iter_mut().filter(|adoption| adoption.id == id) {
+            adoption.refusal_submitted_at = None;
         }
     }
 
     /// Keeps a router's account of the routes that it used lately.
-    pub fn note_live(&mut self, from: NodeId, now: Time, tell: &RouterReport) {
+    pub fn note_live_routes(&mut self, from: NodeId, now: Time, tell: &RouterReport) {
         if self.side.is_some() && !tell.live.is_empty() {
-            self.live.insert(from, (now, tell.live.clone()));
+            self.live_routes.insert(from, (now, tell.live.clone()));
         }
     }
 
     /// Forgets all that waits.
     pub fn clear(&mut self) {
-        self.orders.clear();
-        self.under_way = None;
+        self.waiting.clear();
+        self.submitted = None;
     }
 
     /// Whether an order that is here would make the revision.
-    pub(super) fn expects(&self, revision: u64) -> bool {
-        self.under_way.as_ref().is_some_and(|order| order.revision == revision)
-            || self.orders.iter().any(|order| order.makes(revision, self.side.as_deref()))
+    pub(super) fn will_reach_revision(&self, revision: u64) -> bool {
+        self.submitted.as_ref().is_some_and(|adoption| adoption.revision == revision)
+            || self.waiting.iter().any(|adoption| adoption.yields_revision(revision, self.side.as_deref()))
     }
 
     /// What the candidate would do to the requests that routers took lately. It is told, and refuses nothing.
     pub(super) fn rehearse(&mut self, config: &FleetConfig, current: &FleetConfig, now: Time) -> StageFigure {
-        self.live.retain(|_, account| now.since(account.0) < LIVE_ROUTES_TTL);
+        self.live_routes.retain(|_, account| now.since(account.0) < LIVE_ROUTES_TTL);
         if config.services == current.services {
             return rehearsed("the routes are unchanged".into());
         }
         let table = RouteTable::from(route_rows(config));
         let (mut planned, mut refused, mut moved, mut why) = (0, 0, 0, String::new());
-        for live in self.live.values().flat_map(|account| &account.1) {
+        for live in self.live_routes.values().flat_map(|account| &account.1) {
             planned += live.orders;
             match table.find(&live.host, &live.prefix) {
                 None => {
--- a/src/chain/change_queue.rs
+++ b/src/chain/change_queue.rs
@@ -16,7 +16,7 @@
 use super::adoption_queue::AdoptionQueue;
 use super::heartbeat::NEARLY_FULL_BYTES;
 use super::read_index::ReadIndex;
-use super::reply::{answerable, decided};
+use super::reply::{can_answer, decided};
 
 /// How many changes wait at the head, for each of the two formats.
 pub(super) const QUEUE_CAPACITY: usize = 64;
@@ -26,17 +26,17 @@
 /// The changes that wait at the head, and the nodes that wait for their ends.
 #[derive(Clone, Default)]
 pub struct ChangeQueue {
-    pub(super) inbox: VecDeque<(ChangeId, OperatorCall)>,
+    pub(super) waiting_changes: VecDeque<(ChangeId, OperatorCall)>,
     /// Who waits for the end of a change, and under which attempt.
     callers: BTreeMap<ChangeId, (NodeId, u64)>,
     submitted: BTreeMap<ChangeId, Time>,
     leaving_submitted: BTreeMap<Name, Time>,
-    pub(super) proposing: Option<Time>,
+    pub(super) proposed_at: Option<Time>,
     /// Full answers to changes whose refusal is on its way through the chain.
-    pub(super) refusals: BTreeMap<ChangeId, Answer>,
+    pub(super) pending_refusals: BTreeMap<ChangeId, Answer>,
     pub(super) read_index: ReadIndex,
     pub(super) adoptions: AdoptionQueue,
-    pub(super) source: Publisher,
+    pub(super) publisher: Publisher,
 }
 
 impl ChangeQueue {
@@ -64,53 +64,53 @@
         if self.is_under_way(id, ctx) {
             return ctx.send(from, Msg::CallPending { id, attempt });
         }
-        if let Some(answer) = cannot_write(ctx) {
-            return self.end(id, answer, ctx);
+        if let Some(answer) = write_obstacle(ctx) {
+            return self.finish(id, answer, ctx);
         }
         match op {
             OperatorCall::PlatformConfig { .. } => self.queue_adoption(id, op, ctx),
             OperatorCall::ReplaceConfig { .. } | OperatorCall::PatchConfig { .. } => {
-                self.queue_own(id, op, ctx)
+                self.queue_own_change(id, op, ctx)
             }
-            _ => self.take(id, op.clone(), ctx),
+            _ => self.execute(id, op.clone(), ctx),
         }
     }
 
-    fn queue_own(&mut self, id: ChangeId, op: &OperatorCall, ctx: &mut Context) {
-        if self.inbox.len() >= QUEUE_CAPACITY {
-            return self.end(id, queue_full(), ctx);
+    fn queue_own_change(&mut self, id: ChangeId, op: &OperatorCall, ctx: &mut Context) {
+        if self.waiting_changes.len() >= QUEUE_CAPACITY {
+            return self.finish(id, queue_full_answer(), ctx);
         }
-        self.inbox.push_back((id, op.clone()));
-        self.work(ctx);
+        self.waiting_changes.push_back((id, op.clone()));
+        self.start_next_change(ctx);
     }
 
     fn is_under_way(&self, id: ChangeId, ctx: &Context) -> bool {
         ctx.views.state.candidate.as_ref().is_some_and(|candidate| candidate.id == id)
-            || self.inbox.iter().any(|row| row.0 == id)
-            || self.adoptions.holds(id)
+            || self.waiting_changes.iter().any(|row| row.0 == id)
+            || self.adoptions.contains(id)
             || self.submitted.get(&id).is_some_and(|since| ctx.now.since(*since) < RESUBMIT_AFTER)
     }
 
     /// Tells whoever asked the committed end of a change, if it may be told; whether it did.
     fn answer_if_decided(&mut self, id: ChangeId, ctx: &mut Context) -> bool {
-        let decision = ctx.views.state.decision(id).filter(|decision| answerable(decision, ctx.views));
+        let decision = ctx.views.state.decision(id).filter(|decision| can_answer(decision, ctx.views));
         let Some(decision) = decision else { return false };
         let refused = matches!(decision, Decision::Outcome(outcome) if outcome.code != OutcomeCode::Ok);
-        let full = self.refusals.remove(&id).filter(|_| refused);
+        let full = self.pending_refusals.remove(&id).filter(|_| refused);
         let answer = full.unwrap_or_else(|| decided(decision));
-        self.end(id, answer, ctx);
+        self.finish(id, answer, ctx);
         true
     }
 
     /// Answers whoever waits for the change and forgets it.
-    pub(super) fn end(&mut self, id: ChangeId, answer: Answer, ctx: &mut Context) {
+    pub(super) fn finish(&mut self, id: ChangeId, answer: Answer, ctx: &mut Context) {
         self.submitted.remove(&id);
         if let Some((caller, attempt)) = self.callers.remove(&id) {
             ctx.send(caller, Msg::CallAnswer { id, attempt, answer });
         }
     }
 
-    fn note_leaving(&mut self, tell: &RouterReport, ctx: &mut Context) {
+    fn submit_leaving(&mut self, tell: &RouterReport, ctx: &mut Context) {
         if !ctx.views.role.is_head
             || !ctx.views.role.is_ready
             || ctx.views.role.copies < ctx.views.role.required_copies
@@ -135,7 +135,7 @@
         ctx.publish(JournalEvent::Submitted(Arc::new(change)));
     }
 
-    fn settle(&mut self, ctx: &mut Context) {
+    fn answer_decided(&mut self, ctx: &mut Context) {
         let waiting: Vec<ChangeId> = self.callers.keys().copied().collect();
         for id in waiting {
             self.answer_if_decided(id, ctx);
@@ -147,43 +147,43 @@
                 && ctx.now.since(*since) < RESUBMIT_AFTER
         });
         if ctx.views.role.is_head {
-            self.work(ctx);
+            self.start_next_change(ctx);
             self.adopt_next(ctx);
         } else {
-            self.stand_down();
+            self.forget_waiting();
         }
     }
 
     /// Forgets what waits: only the head answers, and entry nodes send again to the new one.
-    fn stand_down(&mut self) {
-        self.inbox.clear();
+    fn forget_waiting(&mut self) {
+        self.waiting_changes.clear();
         self.adoptions.clear();
         self.read_index.clear();
         self.callers.clear();
-        self.refusals.clear();
+        self.pending_refusals.clear();
     }
 }
 
 /// Why nothing can be written now. It says nothing of the change itself: an earlier try may have been taken.
-fn cannot_write(ctx: &Context) -> Option<Answer> {
+fn write_obstacle(ctx: &Context) -> Option<Answer> {
     if ctx.free_disk_bytes < NEARLY_FULL_BYTES && !ctx.views.role.peers_have_room {
         let text = "the head's disk is nearly full and nothing was written; free room there";
         return Some(Answer::new(507, "disk-full", text, 5));
     }
     if ctx.views.role.copies < ctx.views.role.required_copies {
-        return Some(too_few_copies());
+        return Some(too_few_copies_answer());
     }
     None
 }
 
 /// The answer to a change that the chain has too few members for.
-pub(super) fn too_few_copies() -> Answer {
+pub(super) fn too_few_copies_answer() -> Answer {
     let text = "the chain has too few members left and takes no change; bring back a controller";
     Answer::new(503, "too-few-copies", text, 2)
 }
 
 /// The answer to a change that finds the queue full.
-pub(super) fn queue_full() -> Answer {
+pub(super) fn queue_full_answer() -> Answer {
     Answer::new(503, "inbox-full", "too many changes wait; send it again later", 1)
 }
 
@@ -195,41 +195,43 @@
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         match ev {
             Event::Message { from, msg, .. } => match msg {
-                Msg::OperatorCall { id, attempt, op } => self.received(*from, *id, *attempt, op, ctx),
-                Msg::ReadCall { attempt, path } => self.ask(*from, *attempt, path, ctx),
+                Msg::OperatorCall { id, attempt, op } => self.on_operator_call(*from, *id, *attempt, op, ctx),
+                Msg::ReadCall { attempt, path } => self.on_read(*from, *attempt, path, ctx),
                 Msg::Chain(ChainMsg::ReadIndexRequest { view, sent }) => {
-                    self.proof_requested(*view, *sent, ctx)
+                    self.on_read_index_request(*view, *sent, ctx)
                 }
                 Msg::Chain(ChainMsg::ReadIndexReply { view, sent, committed }) => {
-                    self.proof_given(*view, *sent, *committed, ctx)
+                    self.on_read_index_reply(*view, *sent, *committed, ctx)
                 }
                 Msg::RouterReport(tell) => {
-                    self.adoptions.note_live(*from, ctx.now, tell);
-                    self.note_leaving(tell, ctx);
+                    self.adoptions.note_live_routes(*from, ctx.now, tell);
+                    self.submit_leaving(tell, ctx);
+                }
+                Msg::UpdateRequest { nonce, direct: true, have } => {
+                    self.on_update_request(*from, *nonce, have, ctx)
                 }
-                Msg::UpdateRequest { nonce, direct: true, have } => self.news(*from, *nonce, have, ctx),
                 _ => {}
             },
             Event::Journal(JournalEvent::Committed { change, .. }) => {
                 match **change {
-                    Change::Propose { .. } => self.proposing = None,
-                    Change::Adopt { id, .. } | Change::Refuse { id, .. } => self.adoptions.committed(id),
+                    Change::Propose { .. } => self.proposed_at = None,
+                    Change::Adopt { id, .. } | Change::Refuse { id, .. } => self.adoptions.on_committed(id),
                     _ => {}
                 }
-                self.admit(ctx);
-                self.settle(ctx);
+                self.decide_confirmed(ctx);
+                self.answer_decided(ctx);
             }
-            Event::Journal(JournalEvent::Released(_)) => self.settle(ctx),
+            Event::Journal(JournalEvent::Released(_)) => self.answer_decided(ctx),
             Event::Tick => {
-                self.read_index_tick(ctx);
-                self.settle(ctx);
-                self.push(ctx);
+                self.on_read_index_tick(ctx);
+                self.answer_decided(ctx);
+                self.push_updates(ctx);
             }
             _ => {}
         }
     }
 
     fn status(&self, _now: Time) -> Vec<(&'static str, String)> {
-        vec![("inbox", self.inbox.len().to_string())]
+        vec![("inbox", self.waiting_changes.len().to_string())]
     }
 }
--- a/src/chain/founding.rs
+++ b/src/chain/founding.rs
@@ -79,8 +79,8 @@
 
     fn first_members(&self, ctx: &Context) -> Option<Vec<NodeId>> {
         let me = ctx.me;
-        let seed = |r: &Row| r.who.addr == me.addr || me.seeds.contains(&r.who.addr);
-        let live = ctx.views.controllers().filter(|r| r.quiet < LIVE_SILENCE_LIMIT);
+        let seed = |r: &MemberRow| r.who.addr == me.addr || me.seeds.contains(&r.who.addr);
+        let live = ctx.views.controllers().filter(|r| r.silence < LIVE_SILENCE_LIMIT);
         let mut all: Vec<(bool, NodeId)> =
             live.map(|r| (me.core_size == 0 && !seed(r), r.who.node)).collect();
         all.sort();
@@ -123,8 +123,8 @@
             && let Some(first) = members.first()
             && *first != self.node_id
         {
-            let quiet = ctx.now.since(self.founder.founder_heard_at.max(ctx.me.started));
-            if quiet > FOUNDING_TIMEOUT {
+            let silence = ctx.now.since(self.founder.founder_heard_at.max(ctx.me.started));
+            if silence > FOUNDING_TIMEOUT {
                 self.founder.pledge = None;
                 ctx.save(Record::Pledge { fleet: FleetId(0), members: vec![] });
             }
--- a/src/chain/leaving.rs
+++ b/src/chain/leaving.rs
@@ -125,8 +125,9 @@
             return true;
         }
         let all_leave = view.all().iter().all(|n| *n == self.node_id || self.is_leaving(*n));
-        let outside =
-            |r: &Row| r.who.node != self.node_id && !view.has(r.who.node) && r.quiet < SUCCESSOR_HEARD;
+        let outside = |r: &MemberRow| {
+            r.who.node != self.node_id && !view.has(r.who.node) && r.silence < SUCCESSOR_HEARD
+        };
         all_leave && !ctx.views.controllers().any(outside)
     }
 }
--- a/src/chain/ledger_transfer.rs
+++ b/src/chain/ledger_transfer.rs
@@ -6,7 +6,7 @@
 //! can't know. The nonce keeps an answer to an earlier life of the process from counting: what was granted after
 //! that answer would be missing. Times travel as what is left, so that a delay only lengthens them.
 
-use super::serving_leases::{Holder, ServingLeases};
+use super::serving_leases::{LeaseHolder, ServingLeases};
 use crate::distribution::messages::LeaseNumber;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
@@ -68,7 +68,7 @@
     }
 
     /// At the predecessor: answers with all that it has recorded.
-    pub(super) fn ledger_requested(&self, from: NodeId, view_no: ViewNo, nonce: u64, ctx: &mut Context) {
+    pub(super) fn on_ledger_request(&self, from: NodeId, view_no: ViewNo, nonce: u64, ctx: &mut Context) {
         let view = self.current_view(ctx).filter(|v| v.no == view_no && v.after(ctx.me.node) == Some(from));
         if view.is_some() {
             let ledger = self.ledger(ctx.now);
@@ -77,7 +77,7 @@
     }
 
     /// Takes over the predecessor's ledger, besides what was recorded since it was asked for.
-    pub(super) fn ledger_given(&mut self, view_no: ViewNo, nonce: u64, ledger: &LeaseLedger, ctx: &Context) {
+    pub(super) fn on_ledger(&mut self, view_no: ViewNo, nonce: u64, ledger: &LeaseLedger, ctx: &Context) {
         let current = self.current_view(ctx).is_some_and(|v| v.no == view_no);
         if !current || self.ledger_request.nonce != Some(nonce) {
             return;
@@ -85,7 +85,7 @@
         for row in &ledger.rows {
             self.merge_holder(row, ctx.now);
         }
-        self.limit_unknown(ctx.now + ledger.unknown);
+        self.limit_unknown_until(ctx.now + ledger.unknown);
         if ledger.unknown == Span(0) {
             self.ledger_request.nonce = None;
         }
@@ -93,7 +93,7 @@
 
     fn ledger(&self, now: Time) -> LeaseLedger {
         let running = self.holders.iter().filter(|(_, holder)| holder.until > now);
-        let rows = running.map(|(router, holder)| holder.row(*router, now)).collect();
+        let rows = running.map(|(router, holder)| holder.to_row(*router, now)).collect();
         LeaseLedger { unknown: self.unknown_until().since(now), rows }
     }
 
@@ -101,15 +101,15 @@
     fn merge_holder(&mut self, row: &LedgerRow, now: Time) {
         let until = now + row.left;
         let (versions, address, number) = (row.versions.clone(), row.address, row.number);
-        let given = Holder { until, versions, address, number };
+        let given = LeaseHolder { until, versions, address, number };
         let holder = self.holders.entry(row.router).or_insert(given);
         holder.until = holder.until.max(until);
         holder.number = holder.number.max(number);
     }
 }
 
-impl Holder {
-    fn row(&self, router: NodeId, now: Time) -> LedgerRow {
+impl LeaseHolder {
+    fn to_row(&self, router: NodeId, now: Time) -> LedgerRow {
         let left = self.until.since(now);
         LedgerRow {
             router,
--- a/src/chain/own_change.rs
+++ b/src/chain/own_change.rs
@@ -1,7 +1,7 @@
 //! Changes in the product's own format: one is under way at a time, and each is rehearsed before it is in force.
 
 use super::change_queue::{ChangeQueue, RESUBMIT_AFTER};
-use super::reply::{beyond_memory, faults, status};
+use super::reply::{faults, outcome_unknown, status};
 use crate::fleet::read::read;
 use crate::fleet::state::*;
 use crate::json::Tree;
@@ -15,17 +15,17 @@
 
 impl ChangeQueue {
     /// Takes the next change from the queue, unless one is under way.
-    pub(super) fn work(&mut self, ctx: &mut Context) {
-        let proposing = self.proposing.is_some_and(|since| ctx.now.since(since) < RESUBMIT_AFTER);
+    pub(super) fn start_next_change(&mut self, ctx: &mut Context) {
+        let proposing = self.proposed_at.is_some_and(|since| ctx.now.since(since) < RESUBMIT_AFTER);
         if ctx.views.state.candidate.is_some() || proposing {
             return;
         }
-        if let Some((id, op)) = self.inbox.pop_front() {
-            self.take(id, op, ctx);
+        if let Some((id, op)) = self.waiting_changes.pop_front() {
+            self.execute(id, op, ctx);
         }
     }
 
-    pub(super) fn take(&mut self, id: ChangeId, op: OperatorCall, ctx: &mut Context) {
+    pub(super) fn execute(&mut self, id: ChangeId, op: OperatorCall, ctx: &mut Context) {
         match op {
             OperatorCall::ReplaceConfig { base, text } => {
                 self.propose(id, base, Tree::parse(&text), true, ctx)
@@ -59,7 +59,7 @@
             Err(fault) => {
                 let code = OutcomeCode::BadMove;
                 let answer = Answer::new(status(code), &code.to_string(), &fault.to_string(), 0);
-                self.refuse_for_good(id, code, fault.to_string(), answer, ctx);
+                self.submit_refusal(id, code, fault.to_string(), answer, ctx);
             }
         }
     }
@@ -67,8 +67,8 @@
     fn propose_part(&mut self, id: ChangeId, base: Option<Version>, text: &str, ctx: &mut Context) {
         let current = ctx.views.state.config_version;
         match base {
-            Some(base) if base > current => self.end(id, unknown_base(base, current), ctx),
-            Some(base) if base < current => self.end(id, stale_base(base, ctx), ctx),
+            Some(base) if base > current => self.finish(id, unknown_base_answer(base, current), ctx),
+            Some(base) if base < current => self.finish(id, stale_base_answer(base, ctx), ctx),
             _ => {
                 let mut whole = ctx.views.state.config.tree();
                 let merged = Tree::parse(text).map(|part| {
@@ -78,7 +78,7 @@
                 return self.propose(id, Some(current), merged, base.is_some(), ctx);
             }
         }
-        self.work(ctx);
+        self.start_next_change(ctx);
     }
 
     /// Hands a configuration to the chain. `lasting`: a fault in it now is a fault in it at any time.
@@ -87,13 +87,13 @@
         id: ChangeId,
         base: Option<Version>,
         tree: Result<Tree, String>,
-        lasting: bool,
+        is_final_fault: bool,
         ctx: &mut Context,
     ) {
         let current = ctx.views.state.config_version;
         if base.is_some_and(|base| ctx.views.state.ledger.may_have_forgotten_version(base)) {
-            self.end(id, beyond_memory(), ctx);
-            return self.work(ctx);
+            self.finish(id, outcome_unknown(), ctx);
+            return self.start_next_change(ctx);
         }
         let parsed = tree.map_err(|why| {
             vec![Fault::new(Kind::Config, "configuration", why, "send one well-formed JSON object")]
@@ -101,23 +101,23 @@
         match parsed.and_then(|tree| read(&tree)) {
             Ok(config) => {
                 let base = base.unwrap_or(current);
-                self.proposing = Some(ctx.now);
+                self.proposed_at = Some(ctx.now);
                 self.submit(id, Change::Propose { id, base, config: Box::new(config) }, ctx);
             }
             Err(bad) => {
-                if lasting {
-                    self.end(id, faults(&bad), ctx);
+                if is_final_fault {
+                    self.finish(id, faults(&bad), ctx);
                 } else {
                     let text = bad[0].to_string();
-                    self.refuse_for_good(id, OutcomeCode::BadConfiguration, text, faults(&bad), ctx);
+                    self.submit_refusal(id, OutcomeCode::BadConfiguration, text, faults(&bad), ctx);
                 }
-                self.work(ctx);
+                self.start_next_change(ctx);
             }
         }
     }
 
     /// Has a refusal committed before it is told, where the same change might be good at another time.
-    fn refuse_for_good(
+    fn submit_refusal(
         &mut self,
         id: ChangeId,
         code: OutcomeCode,
@@ -125,16 +125,16 @@
         answer: Answer,
         ctx: &mut Context,
     ) {
-        self.refusals.insert(id, answer);
+        self.pending_refusals.insert(id, answer);
         let last_revision = NO_LAST_REVISION;
         self.submit(id, Change::Refuse { id, base: None, last_revision, code, text }, ctx);
     }
 }
 
-fn stale_base(base: Version, ctx: &Context) -> Answer {
+fn stale_base_answer(base: Version, ctx: &Context) -> Answer {
     let state = &ctx.views.state;
     if state.ledger.may_have_forgotten_version(base) {
-        return beyond_memory();
+        return outcome_unknown();
     }
     let code = OutcomeCode::StaleBase;
     let text = format!("base {base} is not the current {}; read it and send again", state.config_version);
@@ -142,7 +142,7 @@
 }
 
 /// The tail commits first, so a base that was read there may be one that this head has yet to hear of.
-fn unknown_base(base: Version, current: Version) -> Answer {
+fn unknown_base_answer(base: Version, current: Version) -> Answer {
     let text = format!("base {base} is not known here yet, the newest is {current}; send it again");
     Answer::new(503, "base-unknown", &text, 1)
 }
--- a/src/chain/publish.rs
+++ b/src/chain/publish.rs
@@ -5,20 +5,26 @@
 use crate::msg::*;
 
 impl ChangeQueue {
-    pub(super) fn news(&mut self, from: NodeId, nonce: u64, have: &[(Scope, Version)], ctx: &mut Context) {
+    pub(super) fn on_update_request(
+        &mut self,
+        from: NodeId,
+        nonce: u64,
+        have: &[(Scope, Version)],
+        ctx: &mut Context,
+    ) {
         if ctx.now >= ctx.views.role.lease_until {
             let view = ctx.views.view.clone();
             return ctx.send(from, Msg::UpdateRefused { nonce, view });
         }
-        let items = self.source.answer(from, have, &ctx.views.state, ctx.now);
+        let items = self.publisher.answer(from, have, &ctx.views.state, ctx.now);
         ctx.send(from, Msg::UpdateReply { nonce, items });
     }
 
-    pub(super) fn push(&mut self, ctx: &mut Context) {
+    pub(super) fn push_updates(&mut self, ctx: &mut Context) {
         if ctx.now >= ctx.views.role.lease_until {
-            return self.source.clear();
+            return self.publisher.clear();
         }
-        for (to, items) in self.source.pushes(&ctx.views.state, ctx.now) {
+        for (to, items) in self.publisher.pushes(&ctx.views.state, ctx.now) {
             ctx.send(to, Msg::UpdatePush { items });
         }
     }
--- a/src/chain/reply.rs
+++ b/src/chain/reply.rs
@@ -73,13 +73,13 @@
 }
 
 /// The answer to a change that may have been taken so long ago that nobody remembers it.
-pub fn beyond_memory() -> Answer {
+pub fn outcome_unknown() -> Answer {
     let text = "its base is older than this fleet remembers; it may have been taken: read the current one";
     Answer::new(503, "outcome-unknown", text, 5)
 }
 
 /// Whether the end may be told: all copies that must be there have it, and a change that was taken is released
 /// (see `serving_leases`).
-pub fn answerable(decision: &Decision, views: &Views) -> bool {
+pub fn can_answer(decision: &Decision, views: &Views) -> bool {
     views.role.can_acknowledge && decision.taken_at().is_none_or(|at| at <= views.released)
 }
--- a/src/chain/serving_leases.rs
+++ b/src/chain/serving_leases.rs
@@ -24,11 +24,11 @@
 /// What one node's clock may lose against another's while a lease runs.
 pub const CLOCK_DRIFT_MARGIN: Span = Span::ms(20);
 /// How often the released version is told up the chain again.
-const REPEAT_INTERVAL: Span = Span::ms(150);
+const RELEASED_INTERVAL: Span = Span::ms(150);
 
 /// A router with a lease.
 #[derive(Clone)]
-pub(super) struct Holder {
+pub(super) struct LeaseHolder {
     pub(super) until: Time,
     /// What it has confirmed to have.
     pub(super) versions: Vec<Version>,
@@ -39,14 +39,14 @@
 /// Component of the controllers that keeps the ledger, and passes on what is released.
 #[derive(Clone, Default)]
 pub struct ServingLeases {
-    pub(super) holders: BTreeMap<NodeId, Holder>,
+    pub(super) holders: BTreeMap<NodeId, LeaseHolder>,
     history: VersionHistory,
     /// The view in which this node is a member, and the ledger is whole but for what `unknown_until` covers.
     view: Option<ViewNo>,
     unknown_until: Time,
-    waiting: Vec<LeaseApplication>,
-    count: u64,
-    told: Time,
+    pending: Vec<LeaseApplication>,
+    application_count: u64,
+    released_sent_at: Time,
     pub(super) ledger_request: LedgerRequest,
 }
 
@@ -57,7 +57,7 @@
     }
 
     /// All leases that this member doesn't know of have ended by `until`.
-    pub(super) fn limit_unknown(&mut self, until: Time) {
+    pub(super) fn limit_unknown_until(&mut self, until: Time) {
         self.unknown_until = self.unknown_until.min(until);
     }
 
@@ -79,7 +79,7 @@
         self.view = inside.then_some(view);
     }
 
-    fn leads(&self, ctx: &Context) -> bool {
+    fn holds_tail_lease(&self, ctx: &Context) -> bool {
         let role = ctx.views.role;
         role.is_tail && self.view == Some(role.view) && ctx.now < role.lease_until
     }
@@ -94,57 +94,57 @@
     }
 
     /// At the head: a request is numbered and goes along the chain with the others of this moment.
-    fn requested(&mut self, router: NodeId, request: &ServingLeaseRequest, ctx: &mut Context) {
+    fn on_lease_request(&mut self, router: NodeId, request: &ServingLeaseRequest, ctx: &mut Context) {
         let view = self.current_view(ctx).filter(|v| v.head() == Some(ctx.me.node));
         let Some(view) = view else {
             let view = ctx.views.view.clone();
             return ctx.send(router, Msg::UpdateRefused { nonce: 0, view });
         };
-        self.count += 1;
-        let number = LeaseNumber { view: view.no, count: self.count };
+        self.application_count += 1;
+        let number = LeaseNumber { view: view.no, count: self.application_count };
         let address = ctx.views.member(router).map(|m| m.addr);
-        self.waiting.push(LeaseApplication { number, router, address, request: request.clone() });
+        self.pending.push(LeaseApplication { number, router, address, request: request.clone() });
     }
 
-    fn pass_waiting(&mut self, ctx: &mut Context) {
-        let rows = std::mem::take(&mut self.waiting);
+    fn pass_on_pending(&mut self, ctx: &mut Context) {
+        let rows = std::mem::take(&mut self.pending);
         if let (Some(view), false) = (self.current_view(ctx), rows.is_empty()) {
-            self.applied(view.no, &rows, ctx);
+            self.on_applications(view.no, &rows, ctx);
         }
     }
 
     /// Records applications, and passes them on; the tail grants them.
-    fn applied(&mut self, view_no: ViewNo, rows: &[LeaseApplication], ctx: &mut Context) {
+    fn on_applications(&mut self, view_no: ViewNo, rows: &[LeaseApplication], ctx: &mut Context) {
         let Some(view) = self.current_view(ctx).filter(|v| v.no == view_no) else { return };
-        self.history.follow(&ctx.views.state);
+        self.history.record(&ctx.views.state);
         if let Some(next) = view.after(ctx.me.node) {
             rows.iter().for_each(|a| self.record(a, ctx));
             return ctx.chain(next, ChainMsg::LeaseApplications { view: view_no, rows: rows.to_vec() });
         }
-        if self.leads(ctx) {
-            rows.iter().for_each(|a| self.judge(a, ctx));
-            self.release(ctx);
+        if self.holds_tail_lease(ctx) {
+            rows.iter().for_each(|a| self.grant_or_note(a, ctx));
+            self.release_confirmed(ctx);
         }
     }
 
     fn record(&mut self, a: &LeaseApplication, ctx: &Context) {
-        self.end_earlier_lives(a);
+        self.drop_ended_processes(a);
         let until = ctx.now + ctx.me.serving_lease;
         let versions = a.request.versions.clone();
-        self.holders.insert(a.router, Holder { until, versions, address: a.address, number: a.number });
+        self.holders.insert(a.router, LeaseHolder { until, versions, address: a.address, number: a.number });
     }
 
     /// The tail grants a lease to a router that has the newest of everything; else it only notes what it has.
-    fn judge(&mut self, a: &LeaseApplication, ctx: &mut Context) {
+    fn grant_or_note(&mut self, a: &LeaseApplication, ctx: &mut Context) {
         if self.history.is_newest(&a.request.versions) {
             self.record(a, ctx);
             let (nonce, grant, length) = (a.request.nonce, a.number, ctx.me.serving_lease);
             return ctx.send(a.router, Msg::ServingLeaseGrant(ServingLeaseGrant { nonce, grant, length }));
         }
-        self.end_earlier_lives(a);
-        let covered = self.history.covers(&a.request.versions);
+        self.drop_ended_processes(a);
+        let covered = self.history.covered_version(&a.request.versions);
         if let Some(holder) = self.holders.get_mut(&a.router)
-            && covered >= self.history.covers(&holder.versions)
+            && covered >= self.history.covered_version(&holder.versions)
         {
             holder.versions = a.request.versions.clone();
             holder.number = a.number;
@@ -153,9 +153,9 @@
 
     /// A process that got a grant is alive after it. Another one at its address that had asked before has ended
     /// since: two processes never hold one address at a time.
-    fn end_earlier_lives(&mut self, a: &LeaseApplication) {
+    fn drop_ended_processes(&mut self, a: &LeaseApplication) {
         if a.address.is_some() {
-            let ended = |id: &NodeId, h: &Holder| {
+            let ended = |id: &NodeId, h: &LeaseHolder| {
                 *id != a.router && h.address == a.address && h.number < a.request.last_grant
             };
             self.holders.retain(|id, h| !ended(id, h));
@@ -163,35 +163,35 @@
     }
 
     /// The newest version that no router can be behind of for longer than `proof` from now.
-    fn releasable(&mut self, ctx: &Context) -> Version {
+    fn releasable_version(&mut self, ctx: &Context) -> Version {
         let horizon = ctx.now + ctx.me.freshness_limit;
         if self.unknown_until + CLOCK_DRIFT_MARGIN > horizon {
             return Version(0);
         }
         self.holders.retain(|_, h| h.until + CLOCK_DRIFT_MARGIN > horizon);
-        let confirmed = self.holders.values().map(|h| self.history.covers(&h.versions));
+        let confirmed = self.holders.values().map(|h| self.history.covered_version(&h.versions));
         confirmed.min().unwrap_or(ctx.views.state.at).min(ctx.views.state.at)
     }
 
-    fn release(&mut self, ctx: &mut Context) {
-        if !self.leads(ctx) {
+    fn release_confirmed(&mut self, ctx: &mut Context) {
+        if !self.holds_tail_lease(ctx) {
             return;
         }
-        self.history.follow(&ctx.views.state);
-        let upto = self.releasable(ctx);
-        self.raise(upto, ctx);
+        self.history.record(&ctx.views.state);
+        let upto = self.releasable_version(ctx);
+        self.publish_released(upto, ctx);
     }
 
-    fn raise(&mut self, upto: Version, ctx: &mut Context) {
+    fn publish_released(&mut self, upto: Version, ctx: &mut Context) {
         if upto > ctx.views.released {
             ctx.publish(JournalEvent::Released(upto));
-            self.tell(ctx);
+            self.send_released(ctx);
         }
     }
 
     /// Tells the member before this one in the chain, which tells the one before it.
-    fn tell(&mut self, ctx: &mut Context) {
-        self.told = ctx.now;
+    fn send_released(&mut self, ctx: &mut Context) {
+        self.released_sent_at = ctx.now;
         let Some(view) = self.current_view(ctx) else { return };
         if let Some(previous) = view.before(ctx.me.node) {
             let upto = ctx.views.released;
@@ -201,10 +201,10 @@
 
     fn tick(&mut self, ctx: &mut Context) {
         self.request_ledger(ctx);
-        self.pass_waiting(ctx);
-        self.release(ctx);
-        if ctx.now.since(self.told) >= REPEAT_INTERVAL {
-            self.tell(ctx);
+        self.pass_on_pending(ctx);
+        self.release_confirmed(ctx);
+        if ctx.now.since(self.released_sent_at) >= RELEASED_INTERVAL {
+            self.send_released(ctx);
         }
     }
 }
@@ -219,23 +219,23 @@
         match ev {
             Event::Journal(JournalEvent::Founded) => self.unknown_until = ctx.now,
             Event::Message { from, msg: Msg::ServingLeaseRequest(request), .. } => {
-                self.requested(*from, request, ctx)
+                self.on_lease_request(*from, request, ctx)
             }
             Event::Message { msg: Msg::Chain(ChainMsg::LeaseApplications { view, rows }), .. } => {
-                self.applied(*view, rows, ctx)
+                self.on_applications(*view, rows, ctx)
             }
             Event::Message {
                 from, msg: Msg::Chain(ChainMsg::LeaseLedgerRequest { view, nonce }), ..
-            } => self.ledger_requested(*from, *view, *nonce, ctx),
+            } => self.on_ledger_request(*from, *view, *nonce, ctx),
             Event::Message { msg: Msg::Chain(ChainMsg::LeaseLedger { view, nonce, ledger }), .. } => {
-                self.ledger_given(*view, *nonce, ledger, ctx)
+                self.on_ledger(*view, *nonce, ledger, ctx)
             }
             Event::Message { msg: Msg::Chain(ChainMsg::Released { view, upto }), .. }
                 if *view == ctx.views.role.view =>
             {
-                self.raise(*upto, ctx)
+                self.publish_released(*upto, ctx)
             }
-            Event::Journal(JournalEvent::Committed { .. }) => self.release(ctx),
+            Event::Journal(JournalEvent::Committed { .. }) => self.release_confirmed(ctx),
             Event::Tick => self.tick(ctx),
             _ => {}
         }
--- a/src/chain/show.rs
+++ b/src/chain/show.rs
@@ -10,7 +10,7 @@
 impl ChangeQueue {
     /// Answers a read at the tail, while a majority of the voters grants its lease; else nothing is said, and
     /// the node that forwarded the read asks the tail of a newer view or tells its caller so.
-    pub fn ask(&mut self, from: NodeId, attempt: u64, path: &str, ctx: &mut Context) {
+    pub fn on_read(&mut self, from: NodeId, attempt: u64, path: &str, ctx: &mut Context) {
         if ctx.now < ctx.views.role.lease_until {
             let answer = answer(path, ctx.views);
             ctx.send(from, Msg::ReadAnswer { attempt, answer });
@@ -83,7 +83,7 @@
 }
 
 pub fn nodes(views: &Views) -> Tree {
-    let row = |r: &crate::msg::Row| {
+    let row = |r: &crate::msg::MemberRow| {
         let role = if r.who.role == Role::Router { "router" } else { "controller" };
         let place = match &views.view {
             Some(v) if v.head() == Some(r.who.node) => "head",
@@ -98,7 +98,7 @@
             ("domain", r.who.domain.0.as_str().into()),
             ("address", r.who.addr.to_string().into()),
             ("admin", r.who.admin.to_string().into()),
-            ("quiet_ms", r.quiet.as_ms().into()),
+            ("quiet_ms", r.silence.as_ms().into()),
         ])
     };
     views.members.iter().map(row).collect::<Vec<_>>().into()
--- a/src/chain/version_history.rs
+++ b/src/chain/version_history.rs
@@ -32,7 +32,7 @@
     }
 
     /// Adds the present set if it differs from the last one. Versions that were skipped count as the new set's.
-    pub fn follow(&mut self, state: &FleetState) {
+    pub fn record(&mut self, state: &FleetState) {
         if state.at == self.seen && !self.sets.is_empty() {
             return;
         }
@@ -59,7 +59,7 @@
 
     /// The last version of the chain up to which a router that has these versions has everything. A set that is
     /// not known here, or forgotten, covers nothing.
-    pub fn covers(&self, versions: &[Version]) -> Version {
+    pub fn covered_version(&self, versions: &[Version]) -> Version {
         let Some(place) = self.sets.iter().rposition(|s| s.versions == versions) else { return Version(0) };
         self.sets.get(place + 1).map_or(self.seen, |next| Version(next.from.0 - 1))
     }
--- a/src/daemon/roster.rs
+++ b/src/daemon/roster.rs
@@ -60,7 +60,7 @@
             }
             let asked = self.clock.now();
             if let Some(runners) = self.whole().await {
-                self.hand.feed(Event::RunnersListed(RunnerListing { runners, asked }));
+                self.hand.feed(Event::RunnersListed(RunnerListing { runners, requested_at: asked }));
             }
         }
     }
--- a/src/distribution/relay_node.rs
+++ b/src/distribution/relay_node.rs
@@ -9,7 +9,7 @@
 use crate::kernel::rand::mix;
 use crate::kernel::time::{Span, Time};
 use crate::membership::rendezvous::home;
-use crate::membership::service::SUSPECT;
+use crate::membership::service::QUIET_AFTER;
 use crate::msg::*;
 use std::collections::BTreeMap;
 
@@ -61,11 +61,9 @@
     }
 
     fn routers(&self, ctx: &Context) -> Vec<NodeId> {
-        let rows = ctx
-            .views
-            .members
-            .iter()
-            .filter(|r| r.who.role == Role::Router && r.who.domain == ctx.me.domain && r.quiet < SUSPECT);
+        let rows = ctx.views.members.iter().filter(|r| {
+            r.who.role == Role::Router && r.who.domain == ctx.me.domain && r.silence < QUIET_AFTER
+        });
         rows.map(|r| r.who.node).collect()
     }
 
@@ -88,7 +86,7 @@
         let tail = ctx.views.view.as_ref().and_then(|v| v.tail());
         let routers = self.routers(ctx);
         let proof = ctx.me.freshness_limit.0;
-        let patience = Span(LATE.0.min(proof * 35 / 100) + mix(ctx.me.node.0) % SPREAD);
+        let max_age = Span(LATE.0.min(proof * 35 / 100) + mix(ctx.me.node.0) % SPREAD);
         let despair = Span(LOST.0.min(proof * 60 / 100));
         let mut homes: BTreeMap<NodeId, Vec<(Scope, Version)>> = BTreeMap::new();
         let (mut owned, mut missed, mut lost) = (Vec::new(), Vec::new(), Vec::new());
@@ -102,7 +100,7 @@
             }
             match own {
                 true if to_tail => owned.push(have),
-                false if late && age.is_none_or(|a| a > patience) => missed.push(have.clone()),
+                false if late && age.is_none_or(|a| a > max_age) => missed.push(have.clone()),
                 _ => {}
             }
             if !own && to_home {
--- a/src/explore/cluster.rs
+++ b/src/explore/cluster.rs
@@ -7,7 +7,7 @@
 use super::scope::Spent;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
-use crate::msg::{Event, JournalEvent, Msg, OperatorCall, Row};
+use crate::msg::{Event, JournalEvent, MemberRow, Msg, OperatorCall};
 use std::sync::Arc;
 
 /// The sender of operators' changes and reads.
@@ -37,7 +37,7 @@
     /// Whether single messages about leases are worth being disturbed.
     pub leases_count: bool,
     pub spent: Spent,
-    pub(super) members: Arc<Vec<Row>>,
+    pub(super) members: Arc<Vec<MemberRow>>,
     /// The place whose save with this number brings it down, in the present step.
     pub crash_at: Option<(usize, usize, Unsynced)>,
 }
@@ -77,8 +77,10 @@
     /// What membership tells every replica: all machines that ever started, and which of them live.
     fn refresh_members(&mut self) {
         let started = self.replicas.iter().filter(|r| r.starts > 0 && r.me.node != NodeId(0));
-        let row =
-            |r: &Arc<Replica>| Row { who: r.member(), quiet: if r.is_up() { Span(0) } else { NOT_LIVE } };
+        let row = |r: &Arc<Replica>| MemberRow {
+            who: r.member(),
+            silence: if r.is_up() { Span(0) } else { NOT_LIVE },
+        };
         self.members = Arc::new(started.map(row).collect());
     }
 
@@ -183,7 +185,7 @@
         self.replicas.iter().filter(|r| r.damaged).count()
     }
 
-    pub fn members(&self) -> &Arc<Vec<Row>> {
+    pub fn members(&self) -> &Arc<Vec<MemberRow>> {
         &self.members
     }
 }
--- a/src/explore/replica.rs
+++ b/src/explore/replica.rs
@@ -11,7 +11,7 @@
 use crate::kernel::node::Node;
 use crate::kernel::rand::{Rand, SeededRandom};
 use crate::kernel::time::{Span, Time};
-use crate::msg::{Effect, Event, Member, Record, Role, Row};
+use crate::msg::{Effect, Event, Member, MemberRow, Record, Role};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -133,7 +133,7 @@
     }
 
     /// Starts a process from what the disk holds, and returns the effects of its first event.
-    pub fn start(&mut self, now: Time, members: &Arc<Vec<Row>>) -> Vec<Effect> {
+    pub fn start(&mut self, now: Time, members: &Arc<Vec<MemberRow>>) -> Vec<Effect> {
         let records = self.disk.records.clone();
         let known = records.iter().find_map(|r| match r {
             Record::Ident { node } => Some(*node),
@@ -176,7 +176,7 @@
     }
 
     /// Feeds one event to the real node and returns what leaves at once; saves and what waits for them are kept.
-    pub fn feed(&mut self, now: Time, event: Event, members: &Arc<Vec<Row>>) -> Vec<Effect> {
+    pub fn feed(&mut self, now: Time, event: Event, members: &Arc<Vec<MemberRow>>) -> Vec<Effect> {
         let clock = self.clock(now);
         let Some(process) = self.process.take() else { return vec![] };
         let Process { chain, queue, serving, mut views, mut gate, mut jobs, handed, random } = process;
--- a/src/hollow/judge.rs
+++ b/src/hollow/judge.rs
@@ -4,13 +4,13 @@
 use crate::kernel::ids::*;
 use crate::kernel::node::Node;
 use crate::kernel::time::{Span, Time};
-use crate::membership::service::SUSPECT;
+use crate::membership::service::QUIET_AFTER;
 use crate::msg::Role;
 use std::collections::BTreeSet;
 
 /// The longest absence that the fleet may overlook when the node returns under its own id: its watchers
 /// miss it after `SUSPECT`, or their successors do if they went with it, and the claim has to spread.
-pub const OVERLOOKED: Span = Span::ms(2 * SUSPECT.as_ms() + 1000);
+pub const OVERLOOKED: Span = Span::ms(2 * QUIET_AFTER.as_ms() + 1000);
 
 /// A node that was started after the first boot, and what is already known of it.
 #[derive(Clone, Copy)]
@@ -69,7 +69,7 @@
 }
 
 fn lives(node: &Node, who: NodeId) -> bool {
-    node.views.members.iter().any(|r| r.who.node == who && r.quiet < SUSPECT)
+    node.views.members.iter().any(|r| r.who.node == who && r.silence < QUIET_AFTER)
 }
 
 impl Hollow {
--- a/src/kernel/component.rs
+++ b/src/kernel/component.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Default)]
 pub struct Views {
     pub fleet: FleetId,
-    pub members: Arc<Vec<Row>>,
+    pub members: Arc<Vec<MemberRow>>,
     pub view: Option<View>,
     pub state: FleetState,
     pub role: ChainRole,
@@ -88,7 +88,7 @@
         self.members.iter().find(|r| r.who.node == node).map(|r| &r.who)
     }
 
-    pub fn controllers(&self) -> impl Iterator<Item = &Row> {
+    pub fn controllers(&self) -> impl Iterator<Item = &MemberRow> {
         self.members.iter().filter(|r| r.who.role == Role::Controller)
     }
 }
--- a/src/kernel/event.rs
+++ b/src/kernel/event.rs
@@ -11,7 +11,7 @@
 use crate::fleet::state::{Change, Scope};
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
-use crate::membership::messages::Row;
+use crate::membership::messages::MemberRow;
 use crate::msg::{Answer, Msg, OperatorCall};
 use crate::router_report::RouterReport;
 use crate::runner_list::messages::RunnerListing;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub enum JournalEvent {
     Fleet(FleetId),
-    Members(Arc<Vec<Row>>),
+    Members(Arc<Vec<MemberRow>>),
     ViewHeard(View),
     ViewInstalled(View),
     MemberReady(ViewNo),
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -1,55 +1,55 @@
-use super::service::{DOUBT, Membership, Partner};
+use super::service::{Membership, Partner, SUSPECT_AFTER};
 use crate::chain::view::View;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
 use crate::kernel::time::Span;
 use crate::msg::*;
 
-const OFF: Span = Span::ms(300);
-const SERVE: Span = Span::ms(50);
-const MOST: usize = 32;
-const LATELY: u64 = 64;
+const DIFFERENCE_GRACE: Span = Span::ms(300);
+const SNAPSHOT_INTERVAL: Span = Span::ms(50);
+const MAX_ROWS: usize = 32;
+const RECENT_CHANGES: u64 = 64;
 
 impl Membership {
-    fn partner(&mut self, node: NodeId) -> &mut Partner {
-        let sent = self.table.seq.saturating_sub(LATELY);
-        let marked = self.marks.seq.saturating_sub(LATELY);
-        let fresh = || Partner { sent, marked, ..Partner::default() };
+    fn partner_entry(&mut self, node: NodeId) -> &mut Partner {
+        let sent_seq = self.table.seq.saturating_sub(RECENT_CHANGES);
+        let sent_marks_seq = self.marks.seq.saturating_sub(RECENT_CHANGES);
+        let fresh = || Partner { sent_seq, sent_marks_seq, ..Partner::default() };
         self.partners.entry(node).or_insert_with(fresh)
     }
 
-    pub fn learn(&mut self, from: NodeId, g: &Gossip, ctx: &mut Context) {
+    pub fn merge_gossip(&mut self, from: NodeId, g: &Gossip, ctx: &mut Context) {
         for c in &g.rows {
-            self.table.learn(c, ctx.me, ctx.now);
+            self.table.merge(c, ctx.me, ctx.now);
         }
-        self.marks.learn(&g.marks, ctx);
+        self.marks.merge(&g.marks, ctx);
         if let Some(v) = &g.view {
-            hear(v, ctx);
+            publish_if_newer(v, ctx);
         }
-        let partner = self.partner(from);
-        partner.view = g.view_at;
-        partner.heard = Some(ctx.now);
+        let partner = self.partner_entry(from);
+        partner.known_view = g.view_at;
+        partner.heard_at = Some(ctx.now);
     }
 
     /// What changed since the last letter to this partner. A partner that doesn't answer may not know where
     /// this node is reached, so the letter to it names this node too.
-    pub fn gossip(&mut self, to: NodeId, ctx: &Context) -> Gossip {
-        self.partner(to);
+    pub fn next_gossip(&mut self, to: NodeId, ctx: &Context) -> Gossip {
+        self.partner_entry(to);
         let Some(p) = self.partners.get_mut(&to) else { return Gossip::default() };
-        let (mut rows, sent) = self.table.since(p.sent, MOST, ctx.me, ctx.now);
-        let answers = p.heard.is_some_and(|heard| ctx.now.since(heard) < DOUBT);
+        let (mut rows, sent) = self.table.since(p.sent_seq, MAX_ROWS, ctx.me, ctx.now);
+        let answers = p.heard_at.is_some_and(|heard| ctx.now.since(heard) < SUSPECT_AFTER);
         if !answers && rows.iter().all(|claim| claim.who.node != ctx.me.node) {
             rows.extend(self.table.claim(ctx.me.node, ctx.me, ctx.now));
         }
-        let (marks, marked) = self.marks.since(p.marked, MOST, ctx.now);
-        (p.sent, p.marked) = (sent, marked);
+        let (marks, marked) = self.marks.since(p.sent_marks_seq, MAX_ROWS, ctx.now);
+        (p.sent_seq, p.sent_marks_seq) = (sent, marked);
         let no = view_no(ctx);
-        let view = ctx.views.view.clone().filter(|_| p.view < no);
-        p.view = p.view.max(no);
+        let view = ctx.views.view.clone().filter(|_| p.known_view < no);
+        p.known_view = p.known_view.max(no);
         Gossip { digest: self.table.digest ^ self.marks.digest, rows, marks, view_at: no, view }
     }
 
-    pub fn snapshot(&self, ctx: &Context) -> Gossip {
+    pub fn full_gossip(&self, ctx: &Context) -> Gossip {
         let (rows, marks) = (self.table.all(ctx.me, ctx.now), self.marks.since(0, usize::MAX, ctx.now).0);
         let (view_at, view) = (view_no(ctx), ctx.views.view.clone());
         Gossip { digest: self.table.digest ^ self.marks.digest, rows, marks, view_at, view }
@@ -57,35 +57,35 @@
 
     /// Asks a partner for all it knows where its digest differs from this node's for a while. A partner that
     /// this node has no row of can't be reached, so it isn't asked: another one is, at its next letter.
-    pub fn compare(&mut self, from: NodeId, digest: u64, ctx: &mut Context) {
+    pub fn compare_digest(&mut self, from: NodeId, digest: u64, ctx: &mut Context) {
         let same = digest == self.table.digest ^ self.marks.digest;
         let Some(p) = self.partners.get_mut(&from) else { return };
         if same {
-            p.off = None;
-            self.tries = 0;
+            p.differs_since = None;
+            self.sync_tries = 0;
             return;
         }
-        let off = ctx.now.since(*p.off.get_or_insert(ctx.now));
+        let off = ctx.now.since(*p.differs_since.get_or_insert(ctx.now));
         let view = ctx.views.view.as_ref().map(|v| v.all()).unwrap_or_default();
         let blind = view.iter().any(|n| *n != ctx.me.node && !self.table.rows.contains_key(n));
-        let wait = Span::ms(if blind { 200 } else { 500 << self.tries.saturating_sub(4).min(4) });
+        let wait = Span::ms(if blind { 200 } else { 500 << self.sync_tries.saturating_sub(4).min(4) });
         let reached = self.table.rows.contains_key(&from);
-        if reached && (blind || off >= OFF) && ctx.now.since(self.synced) >= wait {
-            self.synced = ctx.now;
-            self.tries += 1;
+        if reached && (blind || off >= DIFFERENCE_GRACE) && ctx.now.since(self.sync_requested_at) >= wait {
+            self.sync_requested_at = ctx.now;
+            self.sync_tries += 1;
             ctx.send(from, Msg::GossipRequest);
         }
     }
 
-    pub fn greet(&mut self, ctx: &mut Context) {
+    pub fn greet_seeds(&mut self, ctx: &mut Context) {
         let (known, empty) = (self.table.rows.len() as u64, ctx.views.fleet == FleetId(0));
         let wait = match known {
             0..2 => 300,
             _ if empty && ctx.me.role == Role::Controller => 2000,
             n => 2000 * (n / 32).max(1),
         };
-        if ctx.now.since(self.greeted) >= Span::ms(wait) {
-            self.greeted = ctx.now;
+        if ctx.now.since(self.greeted_at) >= Span::ms(wait) {
+            self.greeted_at = ctx.now;
             let digest = self.table.digest ^ self.marks.digest;
             for addr in ctx.me.seeds.clone() {
                 let msg = Msg::Hello { me: ctx.me.member(), empty, digest };
@@ -94,34 +94,35 @@
         }
     }
 
-    pub fn mail(&mut self, from: NodeId, msg: &Msg, ctx: &mut Context) {
+    pub fn on_message(&mut self, from: NodeId, msg: &Msg, ctx: &mut Context) {
         match msg {
             Msg::Hello { me, digest, .. } => {
-                self.table.learn(&Claim { who: me.clone(), live: true, age: Span(0) }, ctx.me, ctx.now);
+                self.table.merge(&Claim { who: me.clone(), is_live: true, age: Span(0) }, ctx.me, ctx.now);
                 let empty = ctx.views.fleet == FleetId(0);
                 let same = *digest == self.table.digest ^ self.marks.digest;
-                let due = ctx.now.since(self.served) >= SERVE || self.table.rows.len() < MOST;
-                let gossip = (!same && due).then(|| Box::new(self.snapshot(ctx)));
+                let due = ctx.now.since(self.snapshot_sent_at) >= SNAPSHOT_INTERVAL
+                    || self.table.rows.len() < MAX_ROWS;
+                let gossip = (!same && due).then(|| Box::new(self.full_gossip(ctx)));
                 if gossip.is_some() {
-                    self.served = ctx.now;
+                    self.snapshot_sent_at = ctx.now;
                 }
                 let msg = Msg::Welcome { empty, gossip };
                 ctx.effects.push(Effect::SendAt { addr: me.addr, msg });
             }
-            Msg::Welcome { gossip: Some(g), .. } | Msg::Gossip(g) => self.learn(from, g, ctx),
+            Msg::Welcome { gossip: Some(g), .. } | Msg::Gossip(g) => self.merge_gossip(from, g, ctx),
             Msg::Ping(g) => {
-                self.learn(from, g, ctx);
-                let back = self.gossip(from, ctx);
+                self.merge_gossip(from, g, ctx);
+                let back = self.next_gossip(from, ctx);
                 ctx.send(from, Msg::Pong(Box::new(back)));
-                self.compare(from, g.digest, ctx);
+                self.compare_digest(from, g.digest, ctx);
             }
             Msg::Pong(g) => {
-                self.learn(from, g, ctx);
-                self.compare(from, g.digest, ctx);
+                self.merge_gossip(from, g, ctx);
+                self.compare_digest(from, g.digest, ctx);
             }
-            Msg::GossipRequest if ctx.now.since(self.served) >= SERVE => {
-                self.served = ctx.now;
-                let g = self.snapshot(ctx);
+            Msg::GossipRequest if ctx.now.since(self.snapshot_sent_at) >= SNAPSHOT_INTERVAL => {
+                self.snapshot_sent_at = ctx.now;
+                let g = self.full_gossip(ctx);
                 ctx.send(from, Msg::Gossip(Box::new(g)));
             }
             Msg::RunnersLeaving(names) => self.marks.add_listed(names, ctx),
@@ -129,7 +130,7 @@
             Msg::Suspect { who } => {
                 let known = |n: &&NodeId| {
                     let row = self.table.rows.get(n);
-                    row.is_some_and(|k| k.live && ctx.now.since(k.heard) < DOUBT)
+                    row.is_some_and(|k| k.is_live && ctx.now.since(k.heard_at) < SUSPECT_AFTER)
                 };
                 let rows = who.iter().filter(known).filter_map(|n| self.table.claim(*n, ctx.me, ctx.now));
                 let rows: Vec<Claim> = rows.collect();
@@ -147,7 +148,7 @@
     ctx.views.view.as_ref().map_or(ViewNo(0), |v| v.no)
 }
 
-fn hear(view: &View, ctx: &mut Context) {
+fn publish_if_newer(view: &View, ctx: &mut Context) {
     if ctx.views.older(view) {
         ctx.publish(JournalEvent::ViewHeard(view.clone()));
     }
--- a/src/membership/marks.rs
+++ b/src/membership/marks.rs
@@ -9,16 +9,16 @@
 use std::collections::BTreeMap;
 
 /// How long a mark is kept.
-const KEEP: Span = Span::ms(600_000);
+const MARK_TTL: Span = Span::ms(600_000);
 /// How many marks are kept; the oldest goes first.
-const MOST: usize = 2048;
+const MAX_MARKS: usize = 2048;
 
 /// The marked runners this node knows of.
 #[derive(Default)]
 pub struct Marks {
     /// When each was marked, and the number of that change.
     rows: BTreeMap<Name, (Time, u64)>,
-    order: BTreeMap<u64, Name>,
+    change_order: BTreeMap<u64, Name>,
     /// The number of the last change.
     pub seq: u64,
     /// Over all names; equal on two nodes that know the same marks.
@@ -28,17 +28,17 @@
 impl Marks {
     /// Marks a runner, as of `age` ago.
     pub fn add(&mut self, name: &Name, age: Span, ctx: &mut Context) {
-        if age >= KEEP || self.rows.contains_key(name) {
+        if age >= MARK_TTL || self.rows.contains_key(name) {
             return;
         }
-        if self.rows.len() >= MOST
+        if self.rows.len() >= MAX_MARKS
             && let Some(old) = self.rows.iter().min_by_key(|r| r.1.0).map(|r| r.0.clone())
         {
             self.drop(&old);
         }
         self.seq += 1;
         self.rows.insert(name.clone(), (ctx.now - age, self.seq));
-        self.order.insert(self.seq, name.clone());
+        self.change_order.insert(self.seq, name.clone());
         self.digest ^= hash(&name.0, 3);
         ctx.log_event("runner-marked", name.to_string());
         ctx.effects.push(Effect::RunnerLeaving(name.clone()));
@@ -46,13 +46,13 @@
 
     fn drop(&mut self, name: &Name) {
         if let Some((_, seq)) = self.rows.remove(name) {
-            self.order.remove(&seq);
+            self.change_order.remove(&seq);
             self.digest ^= hash(&name.0, 3);
         }
     }
 
     /// Takes in marks that another node sent.
-    pub fn learn(&mut self, marks: &[Mark], ctx: &mut Context) {
+    pub fn merge(&mut self, marks: &[Mark], ctx: &mut Context) {
         for m in marks {
             self.add(&m.instance, m.age, ctx);
         }
@@ -66,15 +66,15 @@
     }
 
     /// Drops marks that are too old.
-    pub fn forget(&mut self, now: Time) {
+    pub fn drop_expired(&mut self, now: Time) {
         let old: Vec<Name> =
-            self.rows.iter().filter(|r| now.since(r.1.0) >= KEEP).map(|r| r.0.clone()).collect();
+            self.rows.iter().filter(|r| now.since(r.1.0) >= MARK_TTL).map(|r| r.0.clone()).collect();
         old.iter().for_each(|n| self.drop(n));
     }
 
     /// At most `most` marks after change `seq`, and the number up to which they go.
     pub fn since(&self, seq: u64, most: usize, now: Time) -> (Vec<Mark>, u64) {
-        let rows: Vec<(&u64, &Name)> = self.order.range(seq + 1..).take(most).collect();
+        let rows: Vec<(&u64, &Name)> = self.change_order.range(seq + 1..).take(most).collect();
         let upto = if rows.len() < most { self.seq } else { rows.last().map_or(self.seq, |r| *r.0) };
         let mark = |n: &Name| {
             let (t, _) = self.rows.get(n)?;
--- a/src/membership/messages.rs
+++ b/src/membership/messages.rs
@@ -33,11 +33,11 @@
 
 /// A node and how long it has been silent.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Row {
+pub struct MemberRow {
     /// The node.
     pub who: Member,
     /// How long nothing was heard of it; 0 while it counts as live.
-    pub quiet: Span,
+    pub silence: Span,
 }
 
 /// What one node says of another.
@@ -46,7 +46,7 @@
     /// The node it is about.
     pub who: Member,
     /// Whether it is said to live.
-    pub live: bool,
+    pub is_live: bool,
     /// How long ago its evidence was gathered.
     pub age: Span,
 }
--- a/src/membership/rendezvous.rs
+++ b/src/membership/rendezvous.rs
@@ -26,71 +26,71 @@
 
 /// The watchers of each known node, kept up to date as nodes come and go.
 #[derive(Default)]
-pub struct Watch {
+pub struct WatchAssignments {
     /// The live nodes, which may watch others.
-    pool: BTreeSet<NodeId>,
+    live: BTreeSet<NodeId>,
     /// The best of the pool for each known node, with their weights.
-    top: BTreeMap<NodeId, Vec<(u64, NodeId)>>,
+    watchers_of: BTreeMap<NodeId, Vec<(u64, NodeId)>>,
     /// Raised by each change of who watches whom.
-    pub turn: u64,
+    pub generation: u64,
 }
 
-impl Watch {
+impl WatchAssignments {
     fn best(&self, of: NodeId) -> Vec<(u64, NodeId)> {
         let mut best = Vec::with_capacity(WATCHERS + 1);
-        for by in &self.pool {
+        for by in &self.live {
             place(&mut best, of, *by);
         }
         best
     }
 
     /// A node became known and is watched from now on.
-    pub fn add(&mut self, of: NodeId) {
-        if !self.top.contains_key(&of) {
-            self.turn += 1;
-            self.top.insert(of, self.best(of));
+    pub fn add_watched(&mut self, of: NodeId) {
+        if !self.watchers_of.contains_key(&of) {
+            self.generation += 1;
+            self.watchers_of.insert(of, self.best(of));
         }
     }
 
     /// A node is forgotten.
-    pub fn drop(&mut self, of: NodeId) {
-        self.leave(of);
-        if self.top.remove(&of).is_some() {
-            self.turn += 1;
+    pub fn remove_watched(&mut self, of: NodeId) {
+        self.remove_watcher(of);
+        if self.watchers_of.remove(&of).is_some() {
+            self.generation += 1;
         }
     }
 
     /// A node is live and may watch others.
-    pub fn join(&mut self, by: NodeId) {
-        if self.pool.insert(by) {
-            self.turn += 1;
-            for (of, best) in &mut self.top {
+    pub fn add_watcher(&mut self, by: NodeId) {
+        if self.live.insert(by) {
+            self.generation += 1;
+            for (of, best) in &mut self.watchers_of {
                 place(best, *of, by);
             }
         }
     }
 
     /// A node fell silent; others take over what it watched.
-    pub fn leave(&mut self, by: NodeId) {
-        if !self.pool.remove(&by) {
+    pub fn remove_watcher(&mut self, by: NodeId) {
+        if !self.live.remove(&by) {
             return;
         }
-        self.turn += 1;
+        self.generation += 1;
         let hit = |best: &Vec<(u64, NodeId)>| best.iter().any(|r| r.1 == by);
-        let lost: Vec<NodeId> = self.top.iter().filter(|r| hit(r.1)).map(|r| *r.0).collect();
+        let lost: Vec<NodeId> = self.watchers_of.iter().filter(|r| hit(r.1)).map(|r| *r.0).collect();
         for of in lost {
-            self.top.insert(of, self.best(of));
+            self.watchers_of.insert(of, self.best(of));
         }
     }
 
     /// The watchers of a node.
     pub fn watchers(&self, of: NodeId) -> impl Iterator<Item = NodeId> {
-        self.top.get(&of).into_iter().flatten().map(|r| r.1)
+        self.watchers_of.get(&of).into_iter().flatten().map(|r| r.1)
     }
 
     /// The nodes that a node watches.
     pub fn watched(&self, by: NodeId) -> Vec<NodeId> {
-        self.top.iter().filter(|r| r.1.iter().any(|w| w.1 == by)).map(|r| *r.0).collect()
+        self.watchers_of.iter().filter(|r| r.1.iter().any(|w| w.1 == by)).map(|r| *r.0).collect()
     }
 }
 
--- a/src/membership/service.rs
+++ b/src/membership/service.rs
@@ -1,7 +1,7 @@
 use super::exchange::view_no;
 use super::marks::Marks;
 use super::table::Table;
-pub use super::table::{FORGET, SUSPECT};
+pub use super::table::{FORGET_AFTER, QUIET_AFTER};
 use crate::kernel::component::{Component, Context};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
@@ -9,20 +9,20 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-pub const PING: Span = Span::ms(200);
-pub const DOUBT: Span = Span::ms(600);
-const STALL: Span = Span::ms(600);
-const FLUSH: Span = Span::ms(20);
-const AGED: Span = Span::ms(2000);
+pub const PING_INTERVAL: Span = Span::ms(200);
+pub const SUSPECT_AFTER: Span = Span::ms(600);
+const STALL_LIMIT: Span = Span::ms(600);
+const FLUSH_INTERVAL: Span = Span::ms(20);
+const AGE_REFRESH_INTERVAL: Span = Span::ms(2000);
 
 #[derive(Default)]
 pub struct Partner {
-    pub sent: u64,
-    pub marked: u64,
-    pub view: ViewNo,
-    pub off: Option<Time>,
+    pub sent_seq: u64,
+    pub sent_marks_seq: u64,
+    pub known_view: ViewNo,
+    pub differs_since: Option<Time>,
     /// When its last letter came; none since this node made it a partner.
-    pub heard: Option<Time>,
+    pub heard_at: Option<Time>,
 }
 
 #[derive(Default)]
@@ -31,28 +31,28 @@
     pub marks: Marks,
     pub partners: BTreeMap<NodeId, Partner>,
     watched: BTreeMap<NodeId, Time>,
-    turn: u64,
-    rounds: u64,
-    pinged: Time,
-    pub greeted: Time,
-    ticked: Time,
-    flushed: Time,
-    cleared: Time,
-    pub synced: Time,
-    pub served: Time,
-    pub tries: u64,
-    shown: BTreeMap<NodeId, bool>,
+    watch_generation: u64,
+    ping_rounds: u64,
+    pinged_at: Time,
+    pub greeted_at: Time,
+    ticked_at: Time,
+    flushed_at: Time,
+    expired_rows_dropped_at: Time,
+    pub sync_requested_at: Time,
+    pub snapshot_sent_at: Time,
+    pub sync_tries: u64,
+    published_live: BTreeMap<NodeId, bool>,
     /// Whether a node is shown as quiet, so that its row grows older.
-    any_quiet: bool,
-    book_at: Time,
+    has_quiet_node: bool,
+    published_at: Time,
 }
 
 impl Membership {
-    fn refresh(&mut self, ctx: &Context) {
-        if self.turn == self.table.watch.turn {
+    fn refresh_watch(&mut self, ctx: &Context) {
+        if self.watch_generation == self.table.watch.generation {
             return;
         }
-        self.turn = self.table.watch.turn;
+        self.watch_generation = self.table.watch.generation;
         let mut old = std::mem::take(&mut self.watched);
         for n in self.table.watch.watched(ctx.me.node) {
             self.watched.insert(n, old.remove(&n).unwrap_or(ctx.now));
@@ -61,24 +61,24 @@
         self.partners.retain(|n, _| self.watched.contains_key(n) || watchers.contains(n));
     }
 
-    fn ping(&mut self, ctx: &mut Context) {
-        self.rounds += 1;
-        self.refresh(ctx);
+    fn send_pings(&mut self, ctx: &mut Context) {
+        self.ping_rounds += 1;
+        self.refresh_watch(ctx);
         let mut doubts: BTreeMap<NodeId, Vec<NodeId>> = BTreeMap::new();
         for (n, since) in self.watched.clone() {
             let Some(k) = self.table.rows.get(&n) else { continue };
-            let quiet = ctx.now.since(k.heard.max(since));
-            if k.live && quiet >= SUSPECT {
-                self.table.quiet(n, ctx.now);
+            let silence = ctx.now.since(k.heard_at.max(since));
+            if k.is_live && silence >= QUIET_AFTER {
+                self.table.mark_quiet(n, ctx.now);
                 ctx.log_event("member-missed", n.to_string());
-            } else if k.live && quiet >= DOUBT {
+            } else if k.is_live && silence >= SUSPECT_AFTER {
                 for w in self.table.watch.watchers(n).filter(|w| *w != ctx.me.node) {
                     doubts.entry(w).or_default().push(n);
                 }
-            } else if !k.live && !(self.rounds + n.0).is_multiple_of(3) {
+            } else if !k.is_live && !(self.ping_rounds + n.0).is_multiple_of(3) {
                 continue;
             }
-            let g = self.gossip(n, ctx);
+            let g = self.next_gossip(n, ctx);
             ctx.send(n, Msg::Ping(Box::new(g)));
         }
         for (to, who) in doubts {
@@ -86,68 +86,68 @@
         }
     }
 
-    fn flush(&mut self, ctx: &mut Context) {
-        if ctx.now.since(self.flushed) < FLUSH {
+    fn send_changes(&mut self, ctx: &mut Context) {
+        if ctx.now.since(self.flushed_at) < FLUSH_INTERVAL {
             return;
         }
-        self.flushed = ctx.now;
-        self.refresh(ctx);
+        self.flushed_at = ctx.now;
+        self.refresh_watch(ctx);
         let no = view_no(ctx);
         let mut all: Vec<NodeId> = self.watched.keys().copied().collect();
         all.extend(self.table.watch.watchers(ctx.me.node));
         all.sort();
         all.dedup();
         for n in all {
-            let behind = self
-                .partners
-                .get(&n)
-                .is_some_and(|p| p.sent < self.table.seq || p.marked < self.marks.seq || p.view < no);
-            if behind && self.table.rows.get(&n).is_some_and(|k| k.live) {
-                let g = self.gossip(n, ctx);
+            let behind = self.partners.get(&n).is_some_and(|p| {
+                p.sent_seq < self.table.seq || p.sent_marks_seq < self.marks.seq || p.known_view < no
+            });
+            if behind && self.table.rows.get(&n).is_some_and(|k| k.is_live) {
+                let g = self.next_gossip(n, ctx);
                 ctx.send(n, Msg::Gossip(Box::new(g)));
             }
         }
     }
 
-    fn show(&mut self, ctx: &mut Context) {
-        let aged = self.any_quiet && ctx.now.since(self.book_at) >= AGED;
-        let settled = self.table.settles.is_some_and(|at| ctx.now >= at);
-        if !self.table.dirty && !aged && !settled {
+    fn publish_rows(&mut self, ctx: &mut Context) {
+        let aged = self.has_quiet_node && ctx.now.since(self.published_at) >= AGE_REFRESH_INTERVAL;
+        let settled = self.table.next_settles_at.is_some_and(|at| ctx.now >= at);
+        if !self.table.is_dirty && !aged && !settled {
             return;
         }
-        let rows = self.table.book(ctx.me, ctx.now);
-        let now: BTreeMap<NodeId, bool> = rows.iter().map(|r| (r.who.node, r.quiet < SUSPECT)).collect();
-        self.table.dirty = false;
-        self.table.settles = self.table.next_settled(ctx.now);
-        if self.table.settles.is_some() && now == self.shown {
+        let rows = self.table.rows_shown(ctx.me, ctx.now);
+        let now: BTreeMap<NodeId, bool> =
+            rows.iter().map(|r| (r.who.node, r.silence < QUIET_AFTER)).collect();
+        self.table.is_dirty = false;
+        self.table.next_settles_at = self.table.next_settled(ctx.now);
+        if self.table.next_settles_at.is_some() && now == self.published_live {
             return;
         }
-        self.any_quiet = now.values().any(|live| !live);
+        self.has_quiet_node = now.values().any(|live| !live);
         for (node, live) in &now {
-            if self.shown.get(node) != Some(live) {
+            if self.published_live.get(node) != Some(live) {
                 let what = if *live { "member-up" } else { "member-quiet" };
                 ctx.log_event(what, node.to_string());
             }
         }
-        self.shown = now;
-        self.book_at = ctx.now;
+        self.published_live = now;
+        self.published_at = ctx.now;
         ctx.publish(JournalEvent::Members(Arc::new(rows)));
     }
 
     fn tick(&mut self, ctx: &mut Context) {
-        if ctx.now.since(self.ticked) >= STALL {
+        if ctx.now.since(self.ticked_at) >= STALL_LIMIT {
             self.watched.values_mut().for_each(|t| *t = ctx.now);
         }
-        self.ticked = ctx.now;
-        if ctx.now.since(self.cleared) >= Span::ms(1000) {
-            self.cleared = ctx.now;
-            self.table.forget(ctx.now);
-            self.marks.forget(ctx.now);
+        self.ticked_at = ctx.now;
+        if ctx.now.since(self.expired_rows_dropped_at) >= Span::ms(1000) {
+            self.expired_rows_dropped_at = ctx.now;
+            self.table.drop_expired(ctx.now);
+            self.marks.drop_expired(ctx.now);
         }
-        self.greet(ctx);
-        if ctx.now.since(self.pinged) >= PING {
-            self.pinged = ctx.now;
-            self.ping(ctx);
+        self.greet_seeds(ctx);
+        if ctx.now.since(self.pinged_at) >= PING_INTERVAL {
+            self.pinged_at = ctx.now;
+            self.send_pings(ctx);
         }
     }
 }
@@ -166,17 +166,17 @@
                 if ctx.me.role == Role::Router && ctx.views.fleet == FleetId(0) && fleet.0 != 0 {
                     ctx.publish(JournalEvent::Fleet(*fleet));
                 }
-                self.table.heard(*from, ctx.now);
-                self.mail(*from, msg, ctx);
+                self.table.mark_heard(*from, ctx.now);
+                self.on_message(*from, msg, ctx);
             }
             _ => return,
         }
-        self.flush(ctx);
-        self.show(ctx);
+        self.send_changes(ctx);
+        self.publish_rows(ctx);
     }
 
     fn status(&self, _now: Time) -> Vec<(&'static str, String)> {
-        let live = self.table.rows.values().filter(|k| k.live).count();
+        let live = self.table.rows.values().filter(|k| k.is_live).count();
         vec![("known", self.table.rows.len().to_string()), ("live", live.to_string())]
     }
 }
--- a/src/placement/holder.rs
+++ b/src/placement/holder.rs
@@ -5,7 +5,7 @@
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
 use crate::kernel::time::Span;
-use crate::membership::service::SUSPECT;
+use crate::membership::service::QUIET_AFTER;
 use crate::msg::*;
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
         }
         let Some(view) = ctx.views.view.clone() else { return };
         let live = |n: NodeId| {
-            n == ctx.me.node || ctx.views.members.iter().any(|r| r.who.node == n && r.quiet < SUSPECT)
+            n == ctx.me.node || ctx.views.members.iter().any(|r| r.who.node == n && r.silence < QUIET_AFTER)
         };
         let holder = ctx.views.state.duty.as_ref().map(|d| d.holder);
         if holder.is_some_and(|h| view.has(h) && live(h)) {
--- a/src/placement/push.rs
+++ b/src/placement/push.rs
@@ -6,7 +6,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::membership::rendezvous::home;
-use crate::membership::service::SUSPECT;
+use crate::membership::service::QUIET_AFTER;
 use crate::msg::*;
 use crate::rollout::tell::{is_small, router_count, tells_all};
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,7 +44,8 @@
 /// every other message while one of them is lost, and notice it by the next.
 fn relays(seq: u64, ctx: &Context) -> Vec<NodeId> {
     let mut zones: BTreeMap<&Name, Vec<NodeId>> = BTreeMap::new();
-    let live = ctx.views.members.iter().filter(|row| row.who.role == Role::Router && row.quiet < SUSPECT);
+    let live =
+        ctx.views.members.iter().filter(|row| row.who.role == Role::Router && row.silence < QUIET_AFTER);
     for row in live {
         zones.entry(&row.who.domain).or_default().push(row.who.node);
     }
@@ -71,7 +72,7 @@
     }
 
     fn routers(&self, ctx: &Context) -> Vec<NodeId> {
-        let live = ctx.views.members.iter().filter(|r| r.who.role == Role::Router && r.quiet < GONE);
+        let live = ctx.views.members.iter().filter(|r| r.who.role == Role::Router && r.silence < GONE);
         live.map(|r| r.who.node).collect()
     }
 
@@ -101,8 +102,8 @@
         let news: Vec<RunnerHoldings> = rows.values().filter_map(|r| r.after(old.get(&r.runner))).collect();
         let minor = news.iter().all(|r| rows[&r.runner].minor(old.get(&r.runner)));
         let beat = ctx.now.since(self.push.beat) >= BEAT;
-        let patience = Span(MINOR.0.max(gap.0 * MINOR_GAPS));
-        let due = !news.is_empty() && (!minor || ctx.now.since(self.push.minor) >= patience);
+        let max_age = Span(MINOR.0.max(gap.0 * MINOR_GAPS));
+        let due = !news.is_empty() && (!minor || ctx.now.since(self.push.minor) >= max_age);
         if !beat && !due && !self.push.whole {
             return;
         }
--- a/src/placement/seeker.rs
+++ b/src/placement/seeker.rs
@@ -122,7 +122,7 @@
     /// Passes holdings on to the other routers of this zone.
     fn relay(tell: &HoldingsUpdate, ctx: &mut Context) {
         let passed = Arc::new(HoldingsUpdate { relay: false, ..tell.clone() });
-        let is_mate = |row: &&Row| {
+        let is_mate = |row: &&MemberRow| {
             let who = &row.who;
             who.role == Role::Router && who.domain == ctx.me.domain && who.node != ctx.me.node
         };
--- a/src/placement/stages.rs
+++ b/src/placement/stages.rs
@@ -5,7 +5,7 @@
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
 use crate::kernel::time::Span;
-use crate::membership::service::SUSPECT;
+use crate::membership::service::QUIET_AFTER;
 use crate::msg::Role;
 use crate::rollout::tell::report_freshness;
 
@@ -136,7 +136,7 @@
     }
 
     fn progress(&self, id: MoveId, ctx: &Context) -> (Option<u64>, u64, u64) {
-        let live = ctx.views.members.iter().filter(|r| r.who.role == Role::Router && r.quiet < SUSPECT);
+        let live = ctx.views.members.iter().filter(|r| r.who.role == Role::Router && r.silence < QUIET_AFTER);
         let freshness = report_freshness(self.tells.len());
         let (mut left, mut tries, mut postponed) = (Some(0), 0, 0);
         for r in live {
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -53,7 +53,7 @@
 }
 
 impl Job {
-    fn patience(&self) -> Span {
+    fn max_age(&self) -> Span {
         match &self.call {
             Call::Read(_) => CALLER_PATIENCE,
             Call::Write(op) => write_patience(op),
@@ -119,7 +119,7 @@
         let ids: Vec<ChangeId> = self.jobs.keys().copied().collect();
         for id in ids {
             let Some(job) = self.jobs.get(&id) else { continue };
-            if ctx.now.since(job.since) >= job.patience() {
+            if ctx.now.since(job.since) >= job.max_age() {
                 let answer = job.unanswered(id, ctx.views.view.is_some());
                 self.jobs.remove(&id);
                 ctx.answer(id, answer);
--- a/src/rollout/head.rs
+++ b/src/rollout/head.rs
@@ -3,7 +3,7 @@
 use crate::kernel::component::{Component, Context};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
-use crate::membership::service::SUSPECT;
+use crate::membership::service::QUIET_AFTER;
 use crate::msg::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -50,7 +50,7 @@
     }
 
     fn routers(ctx: &Context) -> Vec<NodeId> {
-        let live = ctx.views.members.iter().filter(|r| r.who.role == Role::Router && r.quiet < SUSPECT);
+        let live = ctx.views.members.iter().filter(|r| r.who.role == Role::Router && r.silence < QUIET_AFTER);
         live.map(|r| r.who.node).collect()
     }
 
--- a/src/runner_list/messages.rs
+++ b/src/runner_list/messages.rs
@@ -12,7 +12,7 @@
     /// All runners on it.
     pub runners: Vec<Runner>,
     /// When this node began to ask for it.
-    pub asked: Time,
+    pub requested_at: Time,
 }
 
 /// What a controller tells the others of a list that it has read.
--- a/src/runner_list/reader.rs
+++ b/src/runner_list/reader.rs
@@ -15,66 +15,70 @@
 use std::collections::BTreeMap;
 
 /// How often a router is told of a runner that is leaving, besides gossip: once, and again with the next list.
-const TELLS: u32 = 2;
+const MAX_ANNOUNCEMENTS: u32 = 2;
 /// Nodes silent for longer are not told.
-const GONE: Span = Span::ms(10_000);
+const SILENT_LIMIT: Span = Span::ms(10_000);
 
 /// A controller's part in reading the list.
 pub struct ListReader {
     timing: ListTiming,
     /// When the newest list was asked for, as far as this node knows.
-    newest: Time,
+    newest_listing_at: Time,
     /// When this node last asked for the list because no other did.
-    asked: Time,
+    requested_at: Time,
     /// Runners that this node's own lists show as leaving, and how often routers were told.
-    leaving: BTreeMap<Name, u32>,
+    leaving_announced: BTreeMap<Name, u32>,
 }
 
 impl ListReader {
     /// A reader that takes the list to be new as of `now`.
     pub fn new(now: Time, timing: ListTiming) -> ListReader {
-        ListReader { timing, newest: now, asked: now, leaving: BTreeMap::new() }
+        ListReader { timing, newest_listing_at: now, requested_at: now, leaving_announced: BTreeMap::new() }
     }
 
     /// How old the list may become before this node reads it.
-    fn patience(&self, ctx: &Context) -> Span {
-        let live = ctx.views.controllers().filter(|row| row.quiet == Span(0) || row.who.node == ctx.me.node);
+    fn max_age(&self, ctx: &Context) -> Span {
+        let live =
+            ctx.views.controllers().filter(|row| row.silence == Span(0) || row.who.node == ctx.me.node);
         let order = homes("runner-list", &live.map(|row| row.who.node).collect::<Vec<NodeId>>());
         let rank = order.iter().position(|node| *node == ctx.me.node).unwrap_or(order.len());
-        self.timing.patience(rank, order.len())
+        self.timing.max_age(rank, order.len())
     }
 
-    fn step_in(&mut self, ctx: &mut Context) {
+    fn read_if_overdue(&mut self, ctx: &mut Context) {
         if ctx.views.fleet == FleetId(0) {
             return;
         }
-        let age = ctx.now.since(self.newest.max(self.asked));
-        if age >= self.timing.patience(0, 1) && age >= self.patience(ctx) {
-            self.asked = ctx.now;
-            ctx.log_event("runner-list-unread", format!("for {}, read here", ctx.now.since(self.newest)));
+        let age = ctx.now.since(self.newest_listing_at.max(self.requested_at));
+        if age >= self.timing.max_age(0, 1) && age >= self.max_age(ctx) {
+            self.requested_at = ctx.now;
+            ctx.log_event(
+                "runner-list-unread",
+                format!("for {}, read here", ctx.now.since(self.newest_listing_at)),
+            );
             ctx.effects.push(Effect::ReadList);
         }
     }
 
-    fn read(&mut self, listing: &RunnerListing, ctx: &mut Context) {
-        self.newest = self.newest.max(listing.asked);
+    fn on_listing(&mut self, listing: &RunnerListing, ctx: &mut Context) {
+        self.newest_listing_at = self.newest_listing_at.max(listing.requested_at);
         let leaving: Vec<Name> =
             listing.runners.iter().filter(|r| r.leaving).map(|r| r.instance.clone()).collect();
-        self.leaving.retain(|name, _| leaving.contains(name));
+        self.leaving_announced.retain(|name, _| leaving.contains(name));
         for name in &leaving {
-            if !self.leaving.contains_key(name) {
-                self.leaving.insert(name.clone(), 0);
+            if !self.leaving_announced.contains_key(name) {
+                self.leaving_announced.insert(name.clone(), 0);
                 ctx.publish(JournalEvent::RunnerMarked(name.clone()));
             }
         }
-        self.tell_routers(ctx);
-        self.tell_controllers(ctx.now.since(listing.asked), leaving, ctx);
+        self.notify_routers(ctx);
+        self.notify_controllers(ctx.now.since(listing.requested_at), leaving, ctx);
     }
 
-    fn tell_routers(&mut self, ctx: &mut Context) {
+    fn notify_routers(&mut self, ctx: &mut Context) {
         let mut names = Vec::new();
-        for (name, tells) in self.leaving.iter_mut().filter(|row| *row.1 < TELLS) {
-            *tells += 1;
+        for (name, announced) in self.leaving_announced.iter_mut().filter(|row| *row.1 < MAX_ANNOUNCEMENTS) {
+            *announced += 1;
             names.push(name.clone());
         }
         if !names.is_empty() {
@@ -84,7 +88,7 @@
         }
     }
 
-    fn tell_controllers(&self, age: Span, leaving: Vec<Name>, ctx: &mut Context) {
+    fn notify_controllers(&self, age: Span, leaving: Vec<Name>, ctx: &mut Context) {
         let read = ListRead { age, leaving };
         for node in others(Role::Controller, ctx) {
             ctx.send(node, Msg::ListRead(Box::new(read.clone())));
@@ -93,7 +97,7 @@
 }
 
 fn others(role: Role, ctx: &Context) -> Vec<NodeId> {
-    let rows = ctx.views.members.iter().filter(|row| row.who.role == role && row.quiet < GONE);
+    let rows = ctx.views.members.iter().filter(|row| row.who.role == role && row.silence < SILENT_LIMIT);
     rows.map(|row| row.who.node).filter(|node| *node != ctx.me.node).collect()
 }
 
@@ -104,16 +108,19 @@
 
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         match ev {
-            Event::Tick => self.step_in(ctx),
-            Event::RunnersListed(listing) => self.read(listing, ctx),
+            Event::Tick => self.read_if_overdue(ctx),
+            Event::RunnersListed(listing) => self.on_listing(listing, ctx),
             Event::Message { msg: Msg::ListRead(read), .. } => {
-                self.newest = self.newest.max(ctx.now - read.age);
+                self.newest_listing_at = self.newest_listing_at.max(ctx.now - read.age);
             }
             _ => {}
         }
     }
 
     fn status(&self, now: Time) -> Vec<(&'static str, String)> {
-        vec![("age", now.since(self.newest).to_string()), ("leaving", self.leaving.len().to_string())]
+        vec![
+            ("age", now.since(self.newest_listing_at).to_string()),
+            ("leaving", self.leaving_announced.len().to_string()),
+        ]
     }
 }
--- a/src/runner_list/timing.rs
+++ b/src/runner_list/timing.rs
@@ -23,7 +23,7 @@
 
 impl ListTiming {
     /// The age at which the controller of place `rank` among `count` reads the list.
-    pub fn patience(&self, rank: usize, count: usize) -> Span {
+    pub fn max_age(&self, rank: usize, count: usize) -> Span {
         let share = rank as f64 / count.max(1) as f64;
         let part = FIRST_PART + (LAST_PART - FIRST_PART) * share.min(1.0);
         Span((self.drain.0 as f64 * part) as u64)
--- a/src/sim/listing.rs
+++ b/src/sim/listing.rs
@@ -67,7 +67,7 @@
         };
         let runners = self.runners.iter().map(|r| shown(&r.card)).collect();
         let wait = wait + list.slow;
-        let listing = Box::new(RunnerListing { runners, asked });
+        let listing = Box::new(RunnerListing { runners, requested_at: asked });
         self.later(wait, Event::ListAnswer { place, life, listing });
     }
 
--- a/tests/common/duty.rs
+++ b/tests/common/duty.rs
@@ -14,7 +14,7 @@
 use spindledock::kernel::journal::Journal;
 use spindledock::kernel::rand::SeededRandom;
 use spindledock::kernel::time::{Span, Time};
-use spindledock::membership::messages::{Member, Row};
+use spindledock::membership::messages::{Member, MemberRow};
 use spindledock::msg::*;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     pub fn new(component: C, me: NodeId, role: Role, routers: u64) -> Bench<C> {
         let controllers = (1..=CONTROLLERS).map(|n| member(n, Role::Controller));
         let members = controllers.chain((0..routers).map(|n| member(router(n).0, Role::Router)));
-        let rows = members.map(|who| Row { who, quiet: Span(0) }).collect();
+        let rows = members.map(|who| MemberRow { who, silence: Span(0) }).collect();
         let chain: Vec<NodeId> = (1..=CONTROLLERS).map(NodeId).collect();
         let view = View { no: ViewNo(1), voters: chain[..5].to_vec(), chain };
         let views = Views { members: Arc::new(rows), view: Some(view), ..Views::default() };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,8 +4,8 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::launch::deployment::Deployment;
-use spindledock::membership::rendezvous::Watch;
-use spindledock::membership::service::SUSPECT;
+use spindledock::membership::rendezvous::WatchAssignments;
+use spindledock::membership::service::QUIET_AFTER;
 use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 use spindledock::sim::cost::fleet_of;
@@ -24,7 +24,7 @@
 
 fn live(w: &World, place: usize) -> Vec<NodeId> {
     let Some(node) = &w.nodes[place].node else { return vec![] };
-    let rows = node.views.members.iter().filter(|r| r.quiet < SUSPECT);
+    let rows = node.views.members.iter().filter(|r| r.silence < QUIET_AFTER);
     let mut all: Vec<NodeId> = rows.map(|r| r.who.node).collect();
     all.sort();
     all
@@ -147,9 +147,9 @@
         let routers = w.routers();
         let place = routers[(seed * 5) as usize % routers.len()];
         let of = w.nodes[place].node.as_ref().expect("alive").me.node;
-        let mut watch = Watch::default();
-        ids(&w).into_iter().for_each(|n| watch.join(n));
-        watch.add(of);
+        let mut watch = WatchAssignments::default();
+        ids(&w).into_iter().for_each(|n| watch.add_watcher(n));
+        watch.add_watched(of);
         let from = w.now;
         for by in watch.watchers(of).take(2) {
             let there = w.nodes.iter().position(|n| n.node.as_ref().is_some_and(|x| x.me.node == by));
--- a/tests/input_queue.rs
+++ b/tests/input_queue.rs
@@ -127,7 +127,7 @@
 fn given_more_than_a_lane_takes_when_it_is_full_then_the_oldest_that_may_be_lost_goes_and_is_counted() {
     let mut before = Before::default();
     before.add(Event::OrderAnswered { order: OrderId::default(), status: 200 });
-    before.add(Event::RunnersListed(RunnerListing { runners: vec![], asked: NOW }));
+    before.add(Event::RunnersListed(RunnerListing { runners: vec![], requested_at: NOW }));
     (0..LANE_LIMIT as u64 + 8).for_each(|n| before.add(want(n)));
     assert_eq!(before.queue.dropped(), 8);
     let kinds = before.kinds();
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -5,7 +5,7 @@
 use spindledock::kernel::node::Node;
 use spindledock::kernel::rand::SeededRandom;
 use spindledock::kernel::time::{Span, Time};
-use spindledock::membership::service::{DOUBT, Membership, PING};
+use spindledock::membership::service::{Membership, PING_INTERVAL, SUSPECT_AFTER};
 use spindledock::msg::*;
 use std::net::SocketAddr;
 
@@ -52,7 +52,7 @@
 }
 
 fn ping(who: &[NodeId], digest: u64) -> Msg {
-    let claim = |node: &NodeId| Claim { who: member(*node), live: true, age: Span(0) };
+    let claim = |node: &NodeId| Claim { who: member(*node), is_live: true, age: Span(0) };
     Msg::Ping(Box::new(Gossip { digest, rows: who.iter().map(claim).collect(), ..Gossip::default() }))
 }
 
@@ -80,7 +80,7 @@
     letter(&mut node, BEGIN, STRANGER, ping(&[], OTHER_DIGEST));
     let mut asked = vec![];
     for round in 1..10 {
-        let now = BEGIN + Span(PING.0 * round);
+        let now = BEGIN + Span(PING_INTERVAL.0 * round);
         asked.extend(asked_for_all(&letter(&mut node, now, STRANGER, ping(&[], OTHER_DIGEST))));
         asked.extend(asked_for_all(&letter(&mut node, now + Span::ms(1), KNOWN, ping(&[], OTHER_DIGEST))));
     }
@@ -95,7 +95,7 @@
     assert!(names_itself(&first, KNOWN).is_some(), "a ping is answered");
     let mut said = vec![];
     for round in 1..=20 {
-        let now = BEGIN + DOUBT + Span(PING.0 * round);
+        let now = BEGIN + SUSPECT_AFTER + Span(PING_INTERVAL.0 * round);
         said.extend(names_itself(&node.feed(now, Event::Tick), KNOWN));
     }
     assert!(said.len() > 2, "it is pinged on: {said:?}");
@@ -108,7 +108,7 @@
     letter(&mut node, BEGIN, KNOWN, ping(&[KNOWN], OTHER_DIGEST));
     let mut said = vec![];
     for round in 1..=20 {
-        let now = BEGIN + Span(PING.0 * round);
+        let now = BEGIN + Span(PING_INTERVAL.0 * round);
         let digest = 0;
         said.extend(names_itself(&node.feed(now, Event::Tick), KNOWN));
         letter(&mut node, now + Span::ms(1), KNOWN, ping(&[], digest));
--- a/tests/placement_steps.rs
+++ b/tests/placement_steps.rs
@@ -115,9 +115,10 @@
     holder.run_for(Span::ms(400));
     let list: Vec<_> = (0..RUNNERS - 1).map(|n| size().runner(n)).collect();
     let mut sent_lists = |list: &[_]| {
-        let out = holder
-            .bench
-            .feed(Event::RunnersListed(RunnerListing { runners: list.to_vec(), asked: holder.bench.now }));
+        let out = holder.bench.feed(Event::RunnersListed(RunnerListing {
+            runners: list.to_vec(),
+            requested_at: holder.bench.now,
+        }));
         holder.bench.now = holder.bench.now + Span::ms(100);
         sent(&out).count()
     };
@@ -161,7 +162,7 @@
     (role.is_head, role.is_ready, role.copies) = (true, true, CONTROLLERS as usize);
     let mut rows = (*bench.views.members).clone();
     for row in rows.iter_mut().filter(|row| dead.contains(&row.who.node.0)) {
-        row.quiet = Span::ms(9000);
+        row.silence = Span::ms(9000);
     }
     bench.views.members = Arc::new(rows);
     bench.views.state.duty = Some(Duty { holder: NodeId(99), term: Term(1), begun: true });
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -29,7 +29,7 @@
 }
 
 fn gossip() -> Box<Gossip> {
-    let claim = Claim { who: member(), live: true, age: Span::ms(7) };
+    let claim = Claim { who: member(), is_live: true, age: Span::ms(7) };
     let mark = Mark { instance: Name::from("i-1"), age: Span::ms(9) };
     let view = Some(view());
     Box::new(Gossip { digest: 5, view_at: ViewNo(4), rows: vec![claim], marks: vec![mark], view })
