--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -17,7 +17,7 @@
 stray-legs|src/forwarding/request.rs|if self.over \|\| self.is_stray\(&ev\)|if self.over|forwarding closed_attempt
 last-check|src/gate/core.rs|if now >= order.due \{\s+return Err\(Why::Due\);|if true { return Ok(()); } if now >= order.due { return Err(Why::Due);|must_never after_the_thaw
 freshness|src/distribution/reader.rs|Span::ms\(2000\)|Span::ms(20000)|must_never that_router_refuses
-tail-term|src/chain/publish.rs|if ctx.now >= ctx.views.role.until|if false|must_never that_router_refuses
+tail-term|src/chain/publish.rs|if ctx.now >= ctx.views.role.lease_until|if false|must_never that_router_refuses
 restart-proof|src/distribution/reader.rs|proven < self.started \|\| ||news slides_back
 same-event|src/transfer/handover.rs|if !self.contract.same_place\(a, b\)|if false|must_never_too source_keeps_it
 budget|src/gate/budget.rs|if self.credit < 1.0|if false|must_never_too in_the_budget
@@ -27,10 +27,10 @@
 store-rate|src/placement/flights.rs|at_once.min\(self.pacer.left\(rule\).max\(0.0\) as u64\)|at_once|must_never_too never_overrun
 sync-first|src/kernel/hold.rs|if self.queue.is_empty\(\) \{|if true {|news before_it_is_synced
 compare-swap|src/fleet/fold.rs|if base != self.config_version|if false|order_identity whole_configurations_on_one_base
-ready-kept|src/chain/recovery.rs|self.ready_in = Some\(view\)|drop(view)|must_never they_are_kept
-lead-folded|src/chain/installation.rs|self.is_head\(\) && self.committed >= self.lead_from|self.is_head()|lead the_rest_is_kept
-ready-stays|src/chain/installation.rs|went_on && self.ready && view.has\(self.ident\)|false|mend all_the_same
-mending|src/chain/view_change.rs|if !self.in_chain\(\) \|\| !self.ready \|\| !self.hears_majority\(ctx.now\)|if true|chain changes_go_on
+ready-kept|src/chain/recovery.rs|self.ready_in_view = Some\(view\)|drop(view)|must_never they_are_kept
+lead-folded|src/chain/installation.rs|self.is_head\(\) && self.committed >= self.inherited_up_to|self.is_head()|lead the_rest_is_kept
+ready-stays|src/chain/installation.rs|went_on && self.is_ready && view.has\(self.node_id\)|false|mend all_the_same
+mending|src/chain/view_change.rs|if !self.in_chain\(\) \|\| !self.is_ready \|\| !self.hears_majority\(ctx.now\)|if true|chain changes_go_on
 return-time|src/placement/duty.rs|QUIET: Span = Span::ms\(4000\)|QUIET: Span = Span::ms(14000)|back each_herd
 wait-refused|src/gate/wait.rs|if now \+ wait < order.due \{|if true {|wait hear_it_early
 overlap|src/forwarding/resume.rs|Join::Repeat\(last\) if last == item|Join::Repeat(_)|forwarding mixed
@@ -65,7 +65,7 @@
 tenant-claim|src/platform/runner.rs|heads.remove\(TENANT\);||platform_keys neither_key_nor_tenant
 key-unshown|src/chain/show.rs|state.config.shown\(\)|state.config.tree()|platform_tenants anything_of_the_fleet
 silent-unload|src/placement/flights.rs|!self.load && !self.overdue|!self.load|silent_unload every_model_is_served
-list-step-in|src/runner_list/reader.rs|if age >= self.timing.patience\(0, 1\) && age >= self.patience\(ctx\) \{|if false {|runner_list cut_off_from_the_list
+list-step-in|src/runner_list/reader.rs|if age >= self.timing.max_age\(0, 1\) && age >= self.max_age\(ctx\) \{|if false {|runner_list cut_off_from_the_list
 list-mark|src/runner_list/reader.rs|\.filter\(\|r\| r.leaving\)|.filter(\|_\| false)|runner_list held_up_by_slow_disks
 mark-gossip|src/gate/sweep.rs|h.leaving = true;\s+g.wake\(now\);|g.wake(now);|leaving tells_only_it
 refused-in-force|src/fleet/fold.rs|return self.end\(id, OutcomeCode::RehearsalFailed|self.config = *t.config; self.config_version = self.at; self.touch(Scope::Routes); return self.end(id, OutcomeCode::RehearsalFailed|rehearse live_orders
@@ -75,22 +75,22 @@
 tell-few|src/rollout/tell.rs|routers <= ROUTERS_TELLING_ALL|true|report_pace hears_each_once_a_second
 tick-pace|src/daemon/ticks.rs|if now.since\(self.last\) < period|if false|ticks fifty_times
 distrust|src/placement/look.rs|self.distrust.failed\(runner, ctx.now\);||liar serve_on
-read-index|src/chain/read_index.rs|return self.arrived\(from, id, attempt, op, ctx\)|return self.decide(from, id, attempt, op, ctx)|cut_off nothing_old_is_said
+read-index|src/chain/read_index.rs|return self.on_arrival\(from, id, attempt, op, ctx\)|return self.decide(from, id, attempt, op, ctx)|cut_off nothing_old_is_said
 lease-release|src/chain/reply.rs|decision.taken_at\(\).is_none_or\(\|at\| at <= views.released\)|true|dark_core acknowledgement_waits
-lease-unknown|src/chain/serving_leases.rs|ctx.now \+ ctx.me.serving_lease \+ LEASE;|ctx.now;|dark_core core_restarts
+lease-unknown|src/chain/serving_leases.rs|ctx.now \+ ctx.me.serving_lease \+ LEASE_DURATION;|ctx.now;|dark_core core_restarts
 lease-ledger|src/chain/serving_leases.rs|rows.iter\(\).for_each\(\|a\| self.record\(a, ctx\)\);||dark_core new_tail_waits
 lease-newest|src/chain/serving_leases.rs|if self.history.is_newest\(&a.request.versions\)|if true|dark_core acknowledgement_waits
 vote-when-ready|src/chain/view.rs|next.chain.push\(new\);|next.chain.push(new); next.give_vacant_votes(&[new]);|second_loss lost_for_good_at_once
-ballot-synced|src/chain/view_change.rs|ctx.save\(Record::Promise \{ no, ballot \}\);||second_loss its_ballot_is_new
-ready-copies|src/chain/replicate.rs|if self.ready \{ self.lowest\(\) \} else \{ Version\(0\) \}|self.lowest()|second_loss could_go_on
-leave-in-order|src/chain/leaving.rs|self.copies >= self.copies_wanted && self.votes >= self.majority|true|departure waits_for_the_others
+ballot-synced|src/chain/view_change.rs|ctx.save\(Record::Promise \{ view_no, ballot \}\);||second_loss its_ballot_is_new
+ready-copies|src/chain/replicate.rs|if self.is_ready \{ self.synced_to_tail\(\) \} else \{ Version\(0\) \}|self.synced_to_tail()|second_loss could_go_on
+leave-in-order|src/chain/leaving.rs|self.copies >= self.required_copies && self.votes >= self.majority|true|departure waits_for_the_others
 vote-passed-on|src/chain/view.rs|next.give_vacant_votes\(candidates\);(?=\s+next\s)||departure vote_passed_on
 stop-waits|src/sim/hurts_more.rs|if left \|\| w.now >= due|if true|departure waits_for_the_others
 log-folder-sync|src/kernel/log_file.rs|wrote.and_then\(\|\(\)\| self.folder.sync_folder\(\)\)|wrote|log_file power_goes_at_any_step
 log-discard|src/kernel/log_file.rs|self.discard_due = Some\(generation\);||log_file nothing_acknowledged_is_lost
 log-read-synced|src/kernel/log_file.rs|self.sync_what_was_read\(\*generation\)\?;||log_file what_it_read_is_still_there
 log-header|src/kernel/log_format.rs|Some\(\(other, _\)\) => return Content::OtherFormat\(other\),|Some(_) => {}|log_file refused_by_name
-log-bytes|src/chain/replication_log.rs|self.bytes >= BYTES_MAX && |false && |storm catches_up
+log-bytes|src/chain/replication_log.rs|self.bytes >= MAX_BYTES && |false && |storm catches_up
 journal-state|src/kernel/journal.rs|if carries_state\(&note\)|if false|storm catches_up
 snapshot-back|src/chain/join.rs|pred != Some\(from\) \|\| at <= self.log.last\(\)|pred != Some(from) \|\| at <= self.committed|snapshot comes_late
 lost-tail-reset|src/chain/replicate.rs|if synced > self.log.last\(\) \{|if false {|snapshot resets_and_joins
@@ -98,10 +98,10 @@
 sync-reachable|src/membership/exchange.rs|let reached = self.table.rows.contains_key\(&from\);|let reached = true;|membership can_be_reached_is_asked
 name-itself|src/membership/exchange.rs|if !answers && rows|if false && rows|membership says_who_sends_it
 want-order|src/placement/wants.rs|\* self.count\(\) \* weight|* weight|wants goes_ahead_of_them
-lease-returned|src/chain/acceptor.rs|self.return_lease\(\*no, ctx\);||full_and_wiped served_in_each_case
+lease-returned|src/chain/acceptor.rs|self.return_lease\(\*view_no, ctx\);||full_and_wiped served_in_each_case
 closing-synced|src/kernel/hold.rs|if self.queue.is_empty\(\) \{|if true {|closing read_back_everywhere
-return-current|src/chain/lease.rs|self.acceptor.granted != Some\(\(from, sent\)\)|false|lease_return waited_for
-late-grant|src/chain/lease.rs| \|\| sent <= self.lease.returned||lease_return late_grant
+return-current|src/chain/lease.rs|self.acceptor.granted_lease != Some\(\(from, sent\)\)|false|lease_return waited_for
+late-grant|src/chain/lease.rs| \|\| sent <= self.lease.returned_at||lease_return late_grant
 hopeless-votes|src/chain/view_change.rs|if !self.can_write\(ctx\) \|\| !self.has_writing_majority\(ctx\)|if false|full_and_wiped served_in_most_cases
 held-credit|src/gate/budget.rs| - self.held;|;|tries quiet_time
 reuse-quiet|src/http/connection.rs| \|\| !self.link.guard.is_quiet\(\)||platform_connection nobody_has_read_it_yet
@@ -130,8 +130,8 @@
 ledger-asked|src/fleet/state.rs|self.ledger.find\(id\).map\(Decision::Ledger\)|None|order_again older_than_the_memory
 ledger-in-snapshot|src/chain/recovery.rs|let state = Box::new\(state.clone\(\)\);|let mut state = Box::new(state.clone()); state.ledger = Default::default(); state.outcomes.clear();|order_again each_copy_has_it
 beyond-memory|src/chain/adoption.rs|if forgotten \{|if false {|order_again older_than_the_memory
-refusal-committed|src/chain/adoption.rs|Step::Refuse\(code, text, answer\)|{ drop(text); Step::Answer(answer) }|order_again stays_refused
-base-in-queue|src/chain/adoption.rs| \|\| self.adoptions.expects\(base\)||order_again slow_disks
+refusal-committed|src/chain/adoption.rs|AdoptionStep::Refuse\(code, text, answer\)(?=\s+\})|{ drop(text); AdoptionStep::Answer(answer) }|order_again stays_refused
+base-in-queue|src/chain/adoption.rs| \|\| self.adoptions.will_reach_revision\(base\)||order_again slow_disks
 one-per-base|src/fleet/fold.rs|if base != now \|\| config.revision <= now \{|if false {|order_killed eight_orders
 chain-first|src/kernel/lanes.rs|Msg::Chain\(_\) => Class::kept\(Lane::Chain\)|Msg::Chain(_) => Class::kept(Lane::Deferrable)|overload heartbeats_are_not_late
 deferrable-turn|src/kernel/input_queue.rs|self.passed_over\[\*lane as usize\] >= TURNS|false|input_queue each_gets_its_turn
@@ -150,7 +150,7 @@
 quota-missed-view|src/constraints/counters.rs|old.filter\(\|old\| old.no.next\(\) == view.no\)|old|quota_owner missed_a_view
 quota-handed-once|src/constraints/handover.rs|self.given_up.remove\(tenant\)\?|*self.given_up.get(tenant)?|quota_owner goes_on_with_its_count
 quota-limits-known|src/constraints/owner.rs| && config_version == ctx.views.state.config_version||quota_owner older_limits_than_the_tail
-quota-tail-lease|src/constraints/authority.rs| && ctx.now < role.until||quota_owner tail_without_its_lease
+quota-tail-lease|src/constraints/authority.rs| && ctx.now < role.lease_until||quota_owner tail_without_its_lease
 R
 }
 
