--- a/src/cli/offline.rs
+++ b/src/cli/offline.rs
@@ -4,10 +4,10 @@
 use crate::json::tree::map;
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
-use crate::placement::flights::{Flights, Offer};
-use crate::placement::picture::Picture;
-use crate::placement::planner::whole;
-use crate::placement::trial::rehearse;
+use crate::placement::pending_orders::{PendingOrders, RunnerState};
+use crate::placement::plan_input::PlanInput;
+use crate::placement::plan_building::whole;
+use crate::placement::plan_rehearsal::rehearse;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
         let odd = rows.iter().filter(|r| !known.contains(&r.0.as_str()));
         bad.extend(odd.map(|r| format!("{}: is an unknown key; known are {}", r.0, known.join(", "))));
     }
-    let mut offers: Vec<Offer> = Vec::new();
+    let mut offers: Vec<RunnerState> = Vec::new();
     for (n, t) in tree.list("reports").iter().enumerate() {
         let Some(report) = RunnerReport::read(t) else {
             bad.push(format!(
@@ -54,7 +54,7 @@
             addr: ([0, 0, 0, 0], 0).into(),
             leaving: report.leaving,
         };
-        offers.push(Offer { runner, report });
+        offers.push(RunnerState { runner, report });
     }
     if offers.is_empty() {
         bad.push("reports: is empty; give each runner's report with its service".into());
@@ -73,11 +73,11 @@
         bad.extend(too_big(c, &offers));
     }
     let (true, Some(config)) = (bad.is_empty(), config) else { return Err(bad) };
-    let mut flights = Flights::default();
+    let mut flights = PendingOrders::default();
     flights.pacer.found(&config.store);
     let credit = config.services.iter().map(|s| (s.name.clone(), config.budget.allowance)).collect();
     let (config, flights) = (&config, &flights);
-    let p = Picture {
+    let p = PlanInput {
         config,
         config_version: Version(0),
         offers,
@@ -101,7 +101,7 @@
     2
 }
 
-pub fn too_big(c: &crate::fleet::FleetConfig, offers: &[Offer]) -> Vec<String> {
+pub fn too_big(c: &crate::fleet::FleetConfig, offers: &[RunnerState]) -> Vec<String> {
     let mut bad = Vec::new();
     for s in &c.services {
         let most = offers.iter().filter(|o| o.runner.service == s.name).map(|o| o.report.room_mb).max();
--- a/src/daemon/assemble.rs
+++ b/src/daemon/assemble.rs
@@ -68,8 +68,8 @@
     node.add(Box::new(Membership::default()));
     node.add(Box::new(Relay::default()));
     node.add(Box::new(Distribution::new(now)));
-    node.add(Box::<crate::rollout::tell::Teller>::default());
-    node.add(Box::new(crate::placement::seeker::Seeker::default()));
+    node.add(Box::<crate::rollout::router_reports::RouterReporter>::default());
+    node.add(Box::new(crate::placement::placement_client::PlacementClient::default()));
     node.add(Box::new(QuotaClient::new(place.quota)));
     node
 }
--- a/src/placement/needs.rs
+++ b/src/placement/backlog.rs
@@ -1,7 +1,7 @@
 //! What the holder of the placement duty has yet to do, for its log.
 #![deny(missing_docs)]
 
-use super::duty::Placement;
+use super::component::Placement;
 use crate::fleet::slice::DutySlice;
 use crate::kernel::component::Context;
 use crate::kernel::ids::Name;
@@ -13,7 +13,7 @@
 
 /// What requests wait for, and what is done about it.
 #[derive(Default)]
-struct Needs {
+struct Backlog {
     /// Names that requests wait for.
     wanted: usize,
     /// Of them, those that no runner holds.
@@ -55,10 +55,10 @@
         ctx.log_event("placement-needs", text);
     }
 
-    fn needs(&self, slice: &DutySlice, now: Time) -> Needs {
+    fn needs(&self, slice: &DutySlice, now: Time) -> Backlog {
         let held: BTreeSet<&Name> = self.reports.values().flat_map(|row| &row.1.holds).collect();
         let coming = self.all_coming(slice);
-        let mut needs = Needs { wanted: self.wants.len(), ..Needs::default() };
+        let mut needs = Backlog { wanted: self.wants.len(), ..Backlog::default() };
         for (name, want) in self.wants.iter().filter(|row| !held.contains(row.0)) {
             needs.missing += 1;
             needs.missing_adapters += usize::from(slice.config.adapter(name).is_some());
--- a/src/placement/duty.rs
+++ b/src/placement/component.rs
@@ -1,11 +1,11 @@
-use super::distrust::Distrust;
-use super::flights::Flights;
-use super::job::Job;
-use super::look::Looks;
-use super::push::Push;
-use super::quick::Work;
-use super::uses::Usage;
-use super::wants::Wanted;
+use super::decisions::SearchState;
+use super::holdings_push::HoldingsPublisher;
+use super::job::DecisionJob;
+use super::load_backoff::LoadBackoff;
+use super::pending_orders::PendingOrders;
+use super::report_polling::Polls;
+use super::usage::Usage;
+use super::wanted_names::WantedName;
 use crate::daemon::assemble::Policy;
 use crate::distribution::TopicReader;
 use crate::distribution::reader::Topic;
@@ -17,7 +17,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
-use crate::rollout::tell::tells_all;
+use crate::rollout::router_reports::tells_all;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -36,10 +36,10 @@
     /// The sums over `tells`.
     pub usage: Arc<Usage>,
     /// How much was done to find decisions.
-    pub work: Work,
-    pub flights: Flights,
+    pub work: SearchState,
+    pub flights: PendingOrders,
     /// Runners whose loads failed although they told of room.
-    pub distrust: Distrust,
+    pub distrust: LoadBackoff,
     pub term: Term,
     pub may_from: Time,
     pub kept: BTreeMap<Name, BTreeSet<Name>>,
@@ -49,16 +49,16 @@
     /// When runners were last searched for withdrawn names.
     pub retired: Time,
     pub wanted: BTreeMap<Name, Time>,
-    pub wants: BTreeMap<Name, Wanted>,
+    pub wants: BTreeMap<Name, WantedName>,
     pub used: BTreeMap<Name, Time>,
-    pub looks: Looks,
-    pub push: Push,
-    pub jobs: BTreeMap<Name, Job>,
+    pub looks: Polls,
+    pub push: HoldingsPublisher,
+    pub jobs: BTreeMap<Name, DecisionJob>,
     pub decided: VecDeque<PlacementPlan>,
     /// Since when a runner holds a name that it was seen to get.
     pub settled: BTreeMap<Name, BTreeMap<Name, Time>>,
     pub policy: Policy,
-    pub rows: BTreeMap<PlanId, super::drive::Row>,
+    pub rows: BTreeMap<PlanId, super::plan_execution::StageProgress>,
     pub claims: BTreeMap<Name, Time>,
     pub unseen: BTreeMap<PlanId, (Time, Vec<PlanStep>)>,
     pub cleared: Time,
@@ -89,9 +89,9 @@
             reports: BTreeMap::new(),
             tells: BTreeMap::new(),
             usage: Arc::default(),
-            work: Work::default(),
-            flights: Flights::default(),
-            distrust: Distrust::default(),
+            work: SearchState::default(),
+            flights: PendingOrders::default(),
+            distrust: LoadBackoff::default(),
             term: Term(0),
             may_from: Time(u64::MAX),
             kept: BTreeMap::new(),
@@ -102,8 +102,8 @@
             wanted: BTreeMap::new(),
             wants: BTreeMap::new(),
             used: BTreeMap::new(),
-            looks: Looks::new(),
-            push: Push::default(),
+            looks: Polls::new(),
+            push: HoldingsPublisher::default(),
             jobs: BTreeMap::new(),
             decided: VecDeque::new(),
             settled: BTreeMap::new(),
@@ -138,7 +138,7 @@
                 let begun = slice.duty.as_ref().is_some_and(|duty| duty.begun);
                 self.may_from = pacer.clock() + if begun { Span(0) } else { QUIET };
                 pacer.follow(&slice.config.store, ORDER_FRESH);
-                self.flights = Flights { pacer, ..Flights::default() };
+                self.flights = PendingOrders { pacer, ..PendingOrders::default() };
                 self.phases.clear();
                 self.rows.clear();
                 self.claims.clear();
--- a/src/placement/decision.rs
+++ b/src/placement/decision_plan.rs
@@ -1,4 +1,4 @@
-use super::choose::Choice;
+use super::runner_choice::Choice;
 use crate::fleet::plan::*;
 use crate::kernel::ids::*;
 
--- a/src/placement/round.rs
+++ b/src/placement/decision_round.rs
@@ -4,10 +4,10 @@
 //! many requests, and names that nobody holds, of which a load serves one. While both are there they take turns, and
 //! each gets half of what a round may decide and load before the other takes what is left.
 
-use super::board::Board;
-use super::choose::Choice;
-use super::duty::Placement;
-use super::flights::Offer;
+use super::decision_state::DecisionState;
+use super::runner_choice::Choice;
+use super::component::Placement;
+use super::pending_orders::RunnerState;
 use crate::fleet::slice::DutySlice;
 use crate::kernel::component::Context;
 use crate::kernel::ids::Name;
@@ -68,7 +68,7 @@
 
 /// A round under way.
 struct Round<'a> {
-    board: Board<'a>,
+    board: DecisionState<'a>,
     /// How many decisions it may still take.
     left: usize,
     /// Loads that the store allows at this moment, less those that decisions under way have yet to order.
@@ -122,7 +122,7 @@
     }
 
     /// How many runners a round may weigh: enough for all its decisions, and as often in vain.
-    fn most_weighed(&self, offers: &[Offer]) -> u64 {
+    fn most_weighed(&self, offers: &[RunnerState]) -> u64 {
         let decisions = DECISIONS.max(offers.len() / RUNNERS_PER_DECISION);
         2 * (decisions * offers.len()) as u64
     }
@@ -158,7 +158,7 @@
     }
 
     /// The models that have more requests than their holders carry with ease, the shortest first.
-    fn short(&self, board: &Board, s: &DutySlice) -> Vec<Shortage> {
+    fn short(&self, board: &DecisionState, s: &DutySlice) -> Vec<Shortage> {
         let mut short = vec![];
         let used = self.usage.names.iter().filter(|u| u.1.runs > 0 && s.config.model(u.0).is_some());
         for (name, used) in used.filter(|u| board.is_held(u.0)) {
--- a/src/placement/board.rs
+++ b/src/placement/decision_state.rs
@@ -1,10 +1,10 @@
 //! The picture that small decisions are made from.
 
-use super::choose::{Choice, RunnerCosts};
-use super::copies::Copies;
-use super::duty::Placement;
-use super::flights::{Flights, Offer};
-use super::uses::Usage;
+use super::runner_choice::{Choice, RunnerCosts};
+use super::replica_capacity::ReplicaCapacity;
+use super::component::Placement;
+use super::pending_orders::{PendingOrders, RunnerState};
+use super::usage::Usage;
 use crate::fleet::config::{FleetConfig, Service};
 use crate::fleet::slice::DutySlice;
 use crate::kernel::ids::Name;
@@ -14,12 +14,12 @@
 use std::sync::Arc;
 
 /// What decisions are made from until the next one is taken.
-pub struct Board<'a> {
+pub struct DecisionState<'a> {
     pub(super) placement: &'a Placement,
     pub(super) fleet: &'a DutySlice,
-    pub(super) offers: &'a [Offer],
+    pub(super) offers: &'a [RunnerState],
     pub(super) usage: Arc<Usage>,
-    pub(super) flights: Flights,
+    pub(super) flights: PendingOrders,
     /// The names of which a load is ordered, planned or decided.
     coming: BTreeSet<Name>,
     pub(super) now: Time,
@@ -32,7 +32,7 @@
     held_at: BTreeMap<&'a Name, Vec<usize>>,
     /// The models that have adapters.
     pub(super) bases: OnceCell<BTreeSet<&'a Name>>,
-    pub(super) copies: OnceCell<Copies<'a>>,
+    pub(super) copies: OnceCell<ReplicaCapacity<'a>>,
     pub(super) costs: Vec<OnceCell<RunnerCosts<'a>>>,
     /// The places of the offers that may take an order.
     pub(super) open: Vec<usize>,
@@ -42,10 +42,10 @@
 
 impl Placement {
     /// What decisions of this moment are made from.
-    pub fn board<'a>(&'a self, s: &'a DutySlice, offers: &'a [Offer], now: Time) -> Board<'a> {
+    pub fn board<'a>(&'a self, s: &'a DutySlice, offers: &'a [RunnerState], now: Time) -> DecisionState<'a> {
         let planned: BTreeSet<Name> = self.busy(s, now).into_iter().collect();
         let mut busy = planned.clone();
-        let closed = |o: &&Offer| self.flights.open(&o.runner.instance) || self.flights.is_foreign(&o.report);
+        let closed = |o: &&RunnerState| self.flights.open(&o.runner.instance) || self.flights.is_foreign(&o.report);
         busy.extend(offers.iter().filter(closed).map(|o| o.runner.instance.clone()));
         let mut held_at: BTreeMap<&Name, Vec<usize>> = BTreeMap::new();
         for (place, offer) in offers.iter().enumerate().filter(|o| !o.1.runner.leaving) {
@@ -54,10 +54,10 @@
             }
         }
         let holders = held_at.iter().map(|(name, places)| (*name, places.len() as u64)).collect();
-        let may_take = |o: &Offer| !o.runner.leaving && !busy.contains(&o.runner.instance);
+        let may_take = |o: &RunnerState| !o.runner.leaving && !busy.contains(&o.runner.instance);
         let open = (0..offers.len()).filter(|place| may_take(&offers[*place])).collect();
         let flights = self.counted(s, now);
-        Board {
+        DecisionState {
             placement: self,
             fleet: s,
             offers,
@@ -78,18 +78,18 @@
     }
 }
 
-impl<'a> Board<'a> {
+impl<'a> DecisionState<'a> {
     pub(super) fn config(&self) -> &'a FleetConfig {
         &self.fleet.config
     }
 
     /// The runners whose reports are known.
-    pub fn offers(&self) -> &'a [Offer] {
+    pub fn offers(&self) -> &'a [RunnerState] {
         self.offers
     }
 
     /// What is under way, with the loads of plans that were not yet ordered.
-    pub fn flights(&self) -> &Flights {
+    pub fn flights(&self) -> &PendingOrders {
         &self.flights
     }
 
@@ -114,8 +114,8 @@
     }
 
     /// What the holders of each model carry.
-    pub(super) fn copies(&self) -> &Copies<'a> {
-        self.copies.get_or_init(|| Copies::of(self.offers, &self.usage.names, self.config()))
+    pub(super) fn copies(&self) -> &ReplicaCapacity<'a> {
+        self.copies.get_or_init(|| ReplicaCapacity::of(self.offers, &self.usage.names, self.config()))
     }
 
     /// How many more runners should hold a model, besides those `coming`.
--- a/src/placement/quick.rs
+++ b/src/placement/decisions.rs
@@ -1,8 +1,8 @@
 //! Small decisions for what requests wait for.
 
-use super::board::Board;
-use super::choose::Choice;
-use super::duty::Placement;
+use super::component::Placement;
+use super::decision_state::DecisionState;
+use super::runner_choice::Choice;
 use crate::fleet::slice::DutySlice;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
@@ -25,7 +25,7 @@
 
 /// How often decisions were looked for, for the status page.
 #[derive(Default)]
-pub struct Work {
+pub struct SearchState {
     /// Rounds over all that is wanted.
     pub rounds: u64,
     /// Runners that were weighed for a wanted name.
@@ -96,7 +96,7 @@
     /// left only what a runner has on its own disk is loaded.
     pub(super) fn meet_quick(
         &self,
-        board: &Board,
+        board: &DecisionState,
         name: &Name,
         from_store: bool,
         s: &DutySlice,
@@ -138,7 +138,7 @@
         ordered.chain(decided).chain(planned).chain(moved).cloned().collect()
     }
 
-    fn served(&self, board: &Board, name: &Name, s: &DutySlice) -> bool {
+    fn served(&self, board: &DecisionState, name: &Name, s: &DutySlice) -> bool {
         if !board.is_held(name) {
             return false;
         }
--- a/src/placement/holder.rs
+++ b/src/placement/duty_assignment.rs
@@ -1,4 +1,4 @@
-use super::duty::Placement;
+use super::component::Placement;
 use crate::chain::view::View;
 use crate::fleet::slice::DutySlice;
 use crate::fleet::state::*;
--- a/src/placement/nominate.rs
+++ b/src/placement/estimates.rs
@@ -1,11 +1,11 @@
-use super::flights::{Flights, Offer, is_adapter};
-use super::room::{fits, free_mb, idle_names};
+use super::free_room::{fits, free_mb, idle_names};
+use super::pending_orders::{PendingOrders, RunnerState, is_adapter};
 use crate::fleet::config::FleetConfig;
 use crate::kernel::ids::Name;
 use crate::kernel::time::Time;
 
 #[derive(Clone, PartialEq, Debug)]
-pub enum Way {
+pub enum Remedy {
     Load { runner: Name },
     Unload { runner: Name, name: Name },
     Move { from: Name, to: Name, model: Name },
@@ -13,7 +13,7 @@
 
 #[derive(Clone, PartialEq, Debug)]
 pub struct Estimate {
-    pub way: Way,
+    pub way: Remedy,
     pub ms: u64,
 }
 
@@ -22,8 +22,8 @@
 
 pub fn estimates(
     c: &FleetConfig,
-    offers: &[Offer],
-    f: &Flights,
+    offers: &[RunnerState],
+    f: &PendingOrders,
     want: &Name,
     now: Time,
     wanted: &dyn Fn(&Name) -> bool,
@@ -43,7 +43,7 @@
         }
         if fits(c, o, f, want) {
             let crowd = f.busy(&runner) as u64 * 1000;
-            rows.push(Estimate { way: Way::Load { runner }, ms: load + crowd + o.report.running * 10 });
+            rows.push(Estimate { way: Remedy::Load { runner }, ms: load + crowd + o.report.running * 10 });
             continue;
         }
         let idle: Vec<Name> =
@@ -54,7 +54,7 @@
                 idle.iter().rev().find(|n| !f.has(&runner, n) && is_adapter(c, n) == is_adapter(c, want));
             if let Some(name) = big.or(idle.iter().rev().find(|n| !f.has(&runner, n))) {
                 let ms = load + UNLOAD_MS * idle.len() as u64;
-                rows.push(Estimate { way: Way::Unload { runner, name: name.clone() }, ms });
+                rows.push(Estimate { way: Remedy::Unload { runner, name: name.clone() }, ms });
             }
             continue;
         }
@@ -70,9 +70,9 @@
 #[allow(clippy::too_many_arguments)]
 fn moves(
     c: &FleetConfig,
-    offers: &[Offer],
-    f: &Flights,
-    o: &Offer,
+    offers: &[RunnerState],
+    f: &PendingOrders,
+    o: &RunnerState,
     want: &Name,
     mb: u64,
     load: u64,
@@ -106,7 +106,7 @@
                 continue;
             };
             let (from, to) = (o.runner.instance.clone(), dest.clone());
-            rows.push(Estimate { way: Way::Move { from, to, model: model.clone() }, ms });
+            rows.push(Estimate { way: Remedy::Move { from, to, model: model.clone() }, ms });
         }
     }
     rows
--- a/src/placement/room.rs
+++ b/src/placement/free_room.rs
@@ -1,30 +1,30 @@
-use super::flights::{Flights, Offer, is_adapter};
+use super::pending_orders::{PendingOrders, RunnerState, is_adapter};
 use crate::fleet::config::FleetConfig;
 use crate::fleet::runner::RunnerReport;
 use crate::kernel::ids::Name;
 
-pub fn free_mb(c: &FleetConfig, o: &Offer, f: &Flights) -> u64 {
+pub fn free_mb(c: &FleetConfig, o: &RunnerState, f: &PendingOrders) -> u64 {
     let r = &o.report;
     (r.room_mb + freed_mb(c, r, f)).saturating_sub(r.used_mb).saturating_sub(f.pending_mb(r))
 }
 
-fn goes(c: &FleetConfig, r: &RunnerReport, f: &Flights, name: &Name) -> bool {
+fn goes(c: &FleetConfig, r: &RunnerReport, f: &PendingOrders, name: &Name) -> bool {
     f.given_up(r, name) || c.base_of(name).is_some_and(|model| f.given_up(r, model))
 }
 
-fn freed_mb(c: &FleetConfig, r: &RunnerReport, f: &Flights) -> u64 {
+fn freed_mb(c: &FleetConfig, r: &RunnerReport, f: &PendingOrders) -> u64 {
     let gone = r.holds.iter().filter(|n| goes(c, r, f, n));
     gone.filter_map(|n| c.min_mb(n)).sum()
 }
 
-pub fn adapters_free(c: &FleetConfig, o: &Offer, f: &Flights) -> u64 {
+pub fn adapters_free(c: &FleetConfig, o: &RunnerState, f: &PendingOrders) -> u64 {
     let r = &o.report;
     let held =
         r.holds.iter().chain(&r.loading).filter(|n| is_adapter(c, n) && !goes(c, r, f, n)).count() as u64;
     r.adapter_room.saturating_sub(held).saturating_sub(f.pending_adapters(r))
 }
 
-pub fn fits(c: &FleetConfig, o: &Offer, f: &Flights, name: &Name) -> bool {
+pub fn fits(c: &FleetConfig, o: &RunnerState, f: &PendingOrders, name: &Name) -> bool {
     let Some(mb) = c.weight(name) else { return false };
     if free_mb(c, o, f) < mb {
         return false;
@@ -36,7 +36,7 @@
     adapters_free(c, o, f) > 0 && base.is_some_and(|m| o.report.has(&m) && !goes(c, &o.report, f, &m))
 }
 
-pub fn idle_names(c: &FleetConfig, o: &Offer, wanted: &dyn Fn(&Name) -> bool) -> Vec<Name> {
+pub fn idle_names(c: &FleetConfig, o: &RunnerState, wanted: &dyn Fn(&Name) -> bool) -> Vec<Name> {
     let r = &o.report;
     let used = |n: &Name| r.runs_of(c.base_of(n).unwrap_or(n)) > 0;
     let mut rows: Vec<Name> =
--- a/src/placement/push.rs
+++ b/src/placement/holdings_push.rs
@@ -1,6 +1,6 @@
 //! What the holder of the placement duty tells routers of the runners' holdings.
 
-use super::duty::{Placement, REPORT};
+use super::component::{Placement, REPORT};
 use crate::fleet::holdings::{HoldingsUpdate, RunnerHoldings};
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
@@ -8,7 +8,7 @@
 use crate::membership::rendezvous::home;
 use crate::membership::service::QUIET_AFTER;
 use crate::msg::*;
-use crate::rollout::tell::{is_small, router_count, tells_all};
+use crate::rollout::router_reports::{is_small, router_count, tells_all};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
 
 /// What routers were told of the runners' holdings.
 #[derive(Default)]
-pub struct Push {
+pub struct HoldingsPublisher {
     pub closing: BTreeMap<Name, BTreeSet<Name>>,
     seq: u64,
     sent: BTreeMap<Name, RunnerHoldings>,
@@ -167,6 +167,6 @@
     }
 
     pub fn push_anew(&mut self) {
-        self.push = Push { whole: true, ..Push::default() };
+        self.push = HoldingsPublisher { whole: true, ..HoldingsPublisher::default() };
     }
 }
--- a/src/placement/job.rs
+++ b/src/placement/job.rs
@@ -1,8 +1,8 @@
-use super::choose::Choice;
-use super::decision::decision;
-use super::duty::Placement;
-use super::flights::is_adapter;
-use super::look::NO_ROOM;
+use super::component::Placement;
+use super::decision_plan::decision;
+use super::pending_orders::is_adapter;
+use super::report_polling::NO_ROOM;
+use super::runner_choice::Choice;
 use crate::fleet::plan::*;
 use crate::fleet::slice::DutySlice;
 use crate::kernel::component::Context;
@@ -16,7 +16,7 @@
 const KEPT: usize = 64;
 
 /// A decision under way at one runner.
-pub struct Job {
+pub struct DecisionJob {
     id: PlanId,
     want: Name,
     steps: VecDeque<(bool, Name)>,
@@ -27,7 +27,7 @@
     gap: Span,
 }
 
-impl Job {
+impl DecisionJob {
     pub fn names(&self) -> impl Iterator<Item = &Name> {
         self.steps.iter().map(|s| &s.1)
     }
@@ -70,7 +70,7 @@
         }
         let mut steps: VecDeque<_> = choice.unloads.into_iter().map(|n| (false, n)).collect();
         steps.push_back((true, want.clone()));
-        let job = Job {
+        let job = DecisionJob {
             id,
             want: want.clone(),
             steps,
@@ -118,7 +118,7 @@
     }
 
     /// Whether all that is left to do is a load from the store, and there is time for it.
-    fn awaits_store(&self, runner: &Name, job: &Job, s: &DutySlice, now: Time) -> bool {
+    fn awaits_store(&self, runner: &Name, job: &DecisionJob, s: &DutySlice, now: Time) -> bool {
         let Some((true, name)) = job.steps.front() else { return false };
         let goes_on = self.stays(runner) && now.since(job.since) <= ALLOWED;
         let held = self.reports.get(runner).is_some_and(|row| row.1.has(name));
@@ -126,7 +126,7 @@
     }
 
     /// Whether a decision has something to do: its next order, or its end.
-    fn is_due(&self, runner: &Name, job: &Job, now: Time) -> bool {
+    fn is_due(&self, runner: &Name, job: &DecisionJob, now: Time) -> bool {
         let waits = job.order.is_some_and(|order| self.flights.rows.contains_key(&order)) || now < job.next;
         !waits || now.since(job.since) > ALLOWED || !self.stays(runner)
     }
@@ -134,10 +134,10 @@
     fn run_job(
         &mut self,
         runner: &Name,
-        mut job: Job,
+        mut job: DecisionJob,
         s: &DutySlice,
         ctx: &mut Context,
-    ) -> Result<Job, (PlanId, PlanState, &'static str)> {
+    ) -> Result<DecisionJob, (PlanId, PlanState, &'static str)> {
         let id = job.id;
         if ctx.now.since(job.since) > ALLOWED {
             return Err((id, PlanState::Stopped, "its time was spent"));
@@ -231,7 +231,7 @@
         self.jobs.values().any(|job| job.order == Some(order))
     }
 
-    fn job_of(&mut self, order: OrderId) -> Option<(Name, Job)> {
+    fn job_of(&mut self, order: OrderId) -> Option<(Name, DecisionJob)> {
         let runner = self.jobs.iter().find(|j| j.1.order == Some(order))?.0.clone();
         self.jobs.remove_entry(&runner)
     }
--- a/src/placement/layout.rs
+++ b/src/placement/layout.rs
@@ -1,16 +1,16 @@
 //! The rooms of all runners while a whole plan is laid out, ordered by what is free and by what is held.
 #![deny(missing_docs)]
 
-use super::flights::{Offer, is_adapter};
-use super::picture::Picture;
-use super::room::{adapters_free, free_mb, idle_names};
+use super::free_room::{adapters_free, free_mb, idle_names};
+use super::pending_orders::{RunnerState, is_adapter};
+use super::plan_input::PlanInput;
 use crate::fleet::config::{FleetConfig, PlacementStrategy};
 use crate::kernel::ids::Name;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The room of one runner while a plan is laid out.
-pub struct Room {
+pub struct RunnerRoom {
     /// Whose it is.
     pub runner: Name,
     service: Name,
@@ -27,7 +27,7 @@
 
 /// The rooms of the runners that stay.
 pub struct Layout {
-    rooms: Vec<Room>,
+    rooms: Vec<RunnerRoom>,
     place_of: BTreeMap<Name, usize>,
     by_free: BTreeMap<Name, ByFree>,
     /// The places of the rooms that hold a name.
@@ -38,7 +38,7 @@
 
 impl Layout {
     /// What is free at the runners that stay.
-    pub fn of(picture: &Picture) -> Layout {
+    pub fn of(picture: &PlanInput) -> Layout {
         let mut layout = Layout {
             rooms: vec![],
             place_of: BTreeMap::new(),
@@ -52,11 +52,11 @@
         layout
     }
 
-    fn add(&mut self, offer: &Offer, picture: &Picture) {
+    fn add(&mut self, offer: &RunnerState, picture: &PlanInput) {
         let runner = offer.runner.instance.clone();
         let busy = picture.busy.contains(&runner);
         let config = picture.config;
-        let mut room = Room {
+        let mut room = RunnerRoom {
             runner: runner.clone(),
             service: offer.runner.service.clone(),
             free_mb: if busy { 0 } else { free_mb(config, offer, picture.flights) },
@@ -81,7 +81,7 @@
     }
 
     /// The rooms, in the order of the fleet's runners.
-    pub fn rooms(&self) -> &[Room] {
+    pub fn rooms(&self) -> &[RunnerRoom] {
         &self.rooms
     }
 
--- a/src/placement/distrust.rs
+++ b/src/placement/load_backoff.rs
@@ -28,11 +28,11 @@
 
 /// What the holder of the placement duty has learned of runners whose loads fail.
 #[derive(Clone, Default, Debug)]
-pub struct Distrust {
+pub struct LoadBackoff {
     rows: BTreeMap<Name, Failures>,
 }
 
-impl Distrust {
+impl LoadBackoff {
     /// A load at `runner` was refused for want of room or never appeared in its reports.
     pub fn failed(&mut self, runner: &Name, now: Time) {
         let pause = match self.rows.get(runner) {
--- a/src/placement/stages.rs
+++ b/src/placement/move_execution.rs
@@ -1,4 +1,4 @@
-use super::duty::Placement;
+use super::component::Placement;
 use crate::fleet::config::Allowance;
 use crate::fleet::slice::DutySlice;
 use crate::fleet::state::*;
@@ -7,7 +7,7 @@
 use crate::kernel::time::Span;
 use crate::membership::service::QUIET_AFTER;
 use crate::msg::Role;
-use crate::rollout::tell::report_freshness;
+use crate::rollout::router_reports::report_freshness;
 
 const PLAN: Span = Span::ms(100);
 /// The shortest time between two searches for new plans: this long for each runner.
@@ -87,7 +87,7 @@
                 format!("the stage overran its allowance; streams left {streams:?}, postponed {postponed}");
             return self.step(m, Phase::Stopped, &why, &spent, ctx);
         }
-        let report = |n: &Name| self.reports.get(n).filter(|r| ctx.now.since(r.0) < super::duty::REPORT);
+        let report = |n: &Name| self.reports.get(n).filter(|r| ctx.now.since(r.0) < super::component::REPORT);
         let (from, to) = (report(&m.from).map(|r| r.1.clone()), report(&m.to).map(|r| r.1.clone()));
         match m.phase {
             Phase::Load => {
--- a/src/placement/meet.rs
+++ b/src/placement/move_planning.rs
@@ -1,11 +1,11 @@
 //! Moves for what is wanted and fits nowhere.
 
-use super::board::Board;
-use super::duty::Placement;
-use super::flights::Offer;
-use super::nominate::{Estimate, Way, estimates};
-use super::planner::small;
-use super::trial::rehearse;
+use super::decision_state::DecisionState;
+use super::component::Placement;
+use super::pending_orders::RunnerState;
+use super::estimates::{Estimate, Remedy, estimates};
+use super::plan_building::small;
+use super::plan_rehearsal::rehearse;
 use crate::daemon::assemble::Policy;
 use crate::fleet::slice::DutySlice;
 use crate::kernel::component::Context;
@@ -18,7 +18,7 @@
     /// Plans moves, or unloads by the policy, for what is wanted and no load could help.
     pub fn meet_demand(
         &mut self,
-        offers: &[Offer],
+        offers: &[RunnerState],
         hot: &[Name],
         s: &DutySlice,
         demand: &[(Name, Name, u64)],
@@ -42,14 +42,14 @@
     /// What is to be done for a wanted name that no load could help: a move, or `Some(None)` to preempt.
     fn meet(
         &self,
-        board: &Board,
+        board: &DecisionState,
         service: &Name,
         want: &Name,
         hot: &[Name],
         s: &DutySlice,
         ctx: &Context,
     ) -> Option<Option<Estimate>> {
-        let free = |o: &&Offer| o.report.running + o.report.waiting < o.report.slots;
+        let free = |o: &&RunnerState| o.report.running + o.report.waiting < o.report.slots;
         let mine = || board.offers().iter().filter(|o| o.runner.service == *service);
         let served = || mine().filter(free).any(|o| o.report.has(want) && !o.runner.leaving);
         let plain = s.config.weight(want).is_none();
@@ -67,7 +67,7 @@
         if board.choose(service, want, true).is_some() {
             return None;
         }
-        let offers: Vec<Offer> = mine().cloned().collect();
+        let offers: Vec<RunnerState> = mine().cloned().collect();
         let wanted = |n: &Name| hot.contains(n);
         let busy = |n: &Name| board.is_planned(n);
         let rows = estimates(&s.config, &offers, board.flights(), want, ctx.now, &wanted, &busy);
@@ -76,7 +76,7 @@
             offers.iter().find(|o| o.runner.instance == *from).map_or(0, |o| o.report.runs_of(model))
         };
         let able = |e: &&Estimate| match &e.way {
-            Way::Move { from, model, .. } => credit >= 2 * runs(from, model) && waited >= e.ms,
+            Remedy::Move { from, model, .. } => credit >= 2 * runs(from, model) && waited >= e.ms,
             _ => false,
         };
         rows.iter().find(able).cloned().map(Some)
--- a/src/placement/sequence.rs
+++ b/src/placement/order_counts.rs
@@ -26,11 +26,11 @@
 
 /// The counts of all runners that were heard of.
 #[derive(Clone, Default, Debug)]
-pub struct Sequences {
+pub struct OrderCounts {
     rows: BTreeMap<Name, Count>,
 }
 
-impl Sequences {
+impl OrderCounts {
     /// The count that an order to `runner` may build on, if it is known.
     pub fn expected(&self, runner: &Name) -> Option<u64> {
         self.rows.get(runner).filter(|count| count.doubted.is_none()).map(|count| count.taken)
--- a/src/placement/order.rs
+++ b/src/placement/order_sending.rs
@@ -1,8 +1,8 @@
-use super::distrust::most_used;
-use super::duty::{ORDER_FRESH, Placement};
-use super::flights::{Flight, Offer, is_adapter};
-use super::job::Job;
-use super::room::fits;
+use super::component::{ORDER_FRESH, Placement};
+use super::free_room::fits;
+use super::job::DecisionJob;
+use super::load_backoff::most_used;
+use super::pending_orders::{PendingOrder, RunnerState, is_adapter};
 use crate::fleet::runner::RunnerReport;
 use crate::fleet::slice::DutySlice;
 use crate::kernel::component::Context;
@@ -37,7 +37,7 @@
             return None;
         }
         let expected = self.flights.sequences.expected(runner)?;
-        let offer = Offer { runner: r, report };
+        let offer = RunnerState { runner: r, report };
         if load && self.distrust.is_paused(runner, ctx.now) {
             return None;
         }
@@ -53,7 +53,7 @@
         }
         let order = OrderId(ctx.rand.next() | 1);
         let ms = if kept && !adapter { rule.kept_ms } else { s.config.load_ms(name) };
-        let flight = Flight {
+        let flight = PendingOrder {
             runner: runner.clone(),
             name: name.clone(),
             load,
@@ -100,7 +100,8 @@
     /// How many loads from the store a new decision could order now: those that decisions under way have yet to order
     /// go first.
     pub fn store_loads_left(&mut self, s: &DutySlice) -> u64 {
-        let waits = |row: &(&Name, &Job)| row.1.awaits_load() && self.asks_store(s, row.0, row.1.want());
+        let waits =
+            |row: &(&Name, &DecisionJob)| row.1.awaits_load() && self.asks_store(s, row.0, row.1.want());
         let before = self.jobs.iter().filter(waits).count() as u64;
         self.flights.loads_left(&s.config.store).saturating_sub(before)
     }
--- a/src/placement/flight_table.rs
+++ b/src/placement/order_table.rs
@@ -1,21 +1,21 @@
 //! The orders under way, found by their runner and by the name they load.
 #![deny(missing_docs)]
 
-use super::flights::Flight;
+use super::pending_orders::PendingOrder;
 use crate::kernel::ids::{Name, OrderId};
 use std::collections::BTreeMap;
 
 /// The orders under way.
 #[derive(Clone, Default)]
-pub struct FlightTable {
-    rows: BTreeMap<OrderId, Flight>,
+pub struct OrderTable {
+    rows: BTreeMap<OrderId, PendingOrder>,
     by_runner: BTreeMap<Name, Vec<OrderId>>,
     loads_by_name: BTreeMap<Name, Vec<OrderId>>,
 }
 
-impl FlightTable {
+impl OrderTable {
     /// Adds an order, in the place of one with the same id.
-    pub fn insert(&mut self, order: OrderId, flight: Flight) {
+    pub fn insert(&mut self, order: OrderId, flight: PendingOrder) {
         self.remove(order);
         self.by_runner.entry(flight.runner.clone()).or_default().push(order);
         if flight.load {
@@ -25,7 +25,7 @@
     }
 
     /// Takes an order out.
-    pub fn remove(&mut self, order: OrderId) -> Option<Flight> {
+    pub fn remove(&mut self, order: OrderId) -> Option<PendingOrder> {
         let flight = self.rows.remove(&order)?;
         forget(&mut self.by_runner, &flight.runner, order);
         if flight.load {
@@ -35,7 +35,7 @@
     }
 
     /// Keeps those orders at a runner for which `keeps` says so; it may change them.
-    pub fn retain_at(&mut self, runner: &Name, mut keeps: impl FnMut(&mut Flight) -> bool) {
+    pub fn retain_at(&mut self, runner: &Name, mut keeps: impl FnMut(&mut PendingOrder) -> bool) {
         for order in self.by_runner.get(runner).cloned().unwrap_or_default() {
             if self.rows.get_mut(&order).is_some_and(|flight| !keeps(flight)) {
                 self.remove(order);
@@ -44,12 +44,12 @@
     }
 
     /// The order with this id.
-    pub fn get(&self, order: &OrderId) -> Option<&Flight> {
+    pub fn get(&self, order: &OrderId) -> Option<&PendingOrder> {
         self.rows.get(order)
     }
 
     /// The order with this id, to be changed; its runner, its name and what it does stay as they are.
-    pub fn get_mut(&mut self, order: &OrderId) -> Option<&mut Flight> {
+    pub fn get_mut(&mut self, order: &OrderId) -> Option<&mut PendingOrder> {
         self.rows.get_mut(order)
     }
 
@@ -69,26 +69,26 @@
     }
 
     /// All orders.
-    pub fn values(&self) -> impl Iterator<Item = &Flight> {
+    pub fn values(&self) -> impl Iterator<Item = &PendingOrder> {
         self.rows.values()
     }
 
     /// All orders, to be changed as by [`FlightTable::get_mut`].
-    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Flight> {
+    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut PendingOrder> {
         self.rows.values_mut()
     }
 
     /// The orders at a runner.
-    pub fn at(&self, runner: &Name) -> impl Iterator<Item = &Flight> {
+    pub fn at(&self, runner: &Name) -> impl Iterator<Item = &PendingOrder> {
         self.rows_of(self.by_runner.get(runner))
     }
 
     /// The loads of a name.
-    pub fn loads_of(&self, name: &Name) -> impl Iterator<Item = &Flight> {
+    pub fn loads_of(&self, name: &Name) -> impl Iterator<Item = &PendingOrder> {
         self.rows_of(self.loads_by_name.get(name))
     }
 
-    fn rows_of<'a>(&'a self, orders: Option<&'a Vec<OrderId>>) -> impl Iterator<Item = &'a Flight> {
+    fn rows_of<'a>(&'a self, orders: Option<&'a Vec<OrderId>>) -> impl Iterator<Item = &'a PendingOrder> {
         orders.into_iter().flatten().filter_map(|order| self.rows.get(order))
     }
 }
--- a/src/placement/flights.rs
+++ b/src/placement/pending_orders.rs
@@ -1,7 +1,7 @@
-use super::flight_table::FlightTable;
-use super::look::NO_ROOM;
-use super::pacer::Pacer;
-use super::sequence::Sequences;
+use super::order_counts::OrderCounts;
+use super::order_table::OrderTable;
+use super::report_polling::NO_ROOM;
+use super::store_budget::StoreBudget;
 use crate::fleet::config::{FleetConfig, Store};
 use crate::fleet::runner::{Runner, RunnerReport};
 use crate::kernel::ids::*;
@@ -18,7 +18,7 @@
 const FORGOTTEN: Span = Span::ms(60_000);
 
 #[derive(Clone, Debug)]
-pub struct Flight {
+pub struct PendingOrder {
     pub runner: Name,
     pub name: Name,
     pub load: bool,
@@ -38,10 +38,10 @@
     pub overdue: bool,
 }
 
-impl Flight {
-    pub fn planned(runner: Name, name: Name, mb: u64, adapter: bool, since: Time) -> Flight {
+impl PendingOrder {
+    pub fn planned(runner: Name, name: Name, mb: u64, adapter: bool, since: Time) -> PendingOrder {
         let end = Time(u64::MAX);
-        Flight {
+        PendingOrder {
             runner,
             name,
             load: true,
@@ -67,15 +67,15 @@
 }
 
 #[derive(Clone, Default)]
-pub struct Flights {
-    pub rows: FlightTable,
-    pub pacer: Pacer,
+pub struct PendingOrders {
+    pub rows: OrderTable,
+    pub pacer: StoreBudget,
     /// When a runner refused an order for a name.
     pub refused: BTreeMap<Name, BTreeMap<Name, Time>>,
-    pub sequences: Sequences,
+    pub sequences: OrderCounts,
 }
 
-impl Flights {
+impl PendingOrders {
     /// How many loads the store of weights allows at this moment.
     pub fn loads_left(&mut self, rule: &Store) -> u64 {
         let under_way = self.rows.values().filter(|f| f.load && f.counted).count() as u64;
@@ -93,7 +93,7 @@
 
     /// An order whose outcome is still open: no other is sent to that runner.
     pub fn open(&self, runner: &Name) -> bool {
-        let blocks = |f: &&Flight| !f.overdue && !f.there && (f.load || !f.answered);
+        let blocks = |f: &&PendingOrder| !f.overdue && !f.there && (f.load || !f.answered);
         self.rows.at(runner).any(|f| blocks(&f))
     }
 
@@ -103,13 +103,14 @@
     }
 
     pub fn pending_mb(&self, report: &RunnerReport) -> u64 {
-        let new = |f: &&Flight| f.load && !report.has(&f.name) && !report.loading.contains(&f.name);
+        let new = |f: &&PendingOrder| f.load && !report.has(&f.name) && !report.loading.contains(&f.name);
         self.rows.at(&report.instance).filter(new).map(|f| f.mb).sum()
     }
 
     pub fn pending_adapters(&self, report: &RunnerReport) -> u64 {
-        let new =
-            |f: &&Flight| f.load && f.adapter && !report.has(&f.name) && !report.loading.contains(&f.name);
+        let new = |f: &&PendingOrder| {
+            f.load && f.adapter && !report.has(&f.name) && !report.loading.contains(&f.name)
+        };
         self.rows.at(&report.instance).filter(new).count() as u64
     }
 
@@ -185,7 +186,7 @@
 
 /// A runner with what is known of it.
 #[derive(Clone)]
-pub struct Offer {
+pub struct RunnerState {
     pub runner: Runner,
     pub report: RunnerReport,
 }
--- a/src/placement/seeker.rs
+++ b/src/placement/placement_client.rs
@@ -5,7 +5,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
-use crate::rollout::tell::{is_small, router_count, tells_all};
+use crate::rollout::router_reports::{is_small, router_count, tells_all};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -20,19 +20,19 @@
 
 /// Who holds the placement duty, by what it sends.
 #[derive(Clone, Copy, Default)]
-pub struct HolderContact {
+pub struct DutyHolderContact {
     node: Option<NodeId>,
     term: Term,
     heard: Time,
 }
 
-impl HolderContact {
+impl DutyHolderContact {
     /// A holder sent holdings under `term`; whether that term is still the newest.
     pub fn heard(&mut self, from: NodeId, term: Term, now: Time) -> bool {
         if term < self.term {
             return false;
         }
-        *self = HolderContact { node: Some(from), term, heard: now };
+        *self = DutyHolderContact { node: Some(from), term, heard: now };
         true
     }
 
@@ -44,8 +44,8 @@
 
 /// A router's link to the holder of the placement duty: it tells wants and follows holdings.
 #[derive(Default)]
-pub struct Seeker {
-    contact: HolderContact,
+pub struct PlacementClient {
+    contact: DutyHolderContact,
     seq: u64,
     asked: Time,
     behind: bool,
@@ -57,7 +57,7 @@
     turn: usize,
 }
 
-impl Seeker {
+impl PlacementClient {
     fn holders(&self, ctx: &Context) -> Vec<NodeId> {
         match self.contact.holder(ctx.now) {
             Some(n) => vec![n],
@@ -166,7 +166,7 @@
     }
 }
 
-impl Component for Seeker {
+impl Component for PlacementClient {
     fn name(&self) -> &'static str {
         "seeker"
     }
--- a/src/placement/planner.rs
+++ b/src/placement/plan_building.rs
@@ -1,24 +1,24 @@
-use super::flights::is_adapter;
-use super::layout::{Layout, Room};
-use super::nominate::Way;
-use super::picture::Picture;
-use super::room::{free_mb, idle_names};
+use super::estimates::Remedy;
+use super::free_room::{free_mb, idle_names};
+use super::layout::{Layout, RunnerRoom};
+use super::pending_orders::is_adapter;
+use super::plan_input::PlanInput;
 use crate::fleet::plan::{PlacementPlan, PlanStep};
 use crate::kernel::ids::*;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-pub fn small(p: &Picture, id: PlanId, want: &Name, way: &Way, service: &Name, ms: u64) -> PlacementPlan {
+pub fn small(p: &PlanInput, id: PlanId, want: &Name, way: &Remedy, service: &Name, ms: u64) -> PlacementPlan {
     let why = format!("{want} is wanted; startup is estimated at {ms}ms");
     let load =
         |runner: &Name| p.stage("load", vec![PlanStep::Load { runner: runner.clone(), name: want.clone() }]);
     let stages = match way {
-        Way::Load { runner } => vec![load(runner)],
-        Way::Unload { runner, .. } => {
+        Remedy::Load { runner } => vec![load(runner)],
+        Remedy::Unload { runner, .. } => {
             let steps = room_for(p, runner, want);
             vec![p.stage("make room", steps), load(runner)]
         }
-        Way::Move { from, to, model } => {
+        Remedy::Move { from, to, model } => {
             let (id, service) = (MoveId(id.0), service.clone());
             let (model, from, to) = (model.clone(), from.clone(), to.clone());
             vec![p.stage("move", vec![PlanStep::Move { id, service, model, from, to, want: want.clone() }])]
@@ -27,7 +27,7 @@
     p.plan(id, why, stages)
 }
 
-fn room_for(p: &Picture, runner: &Name, want: &Name) -> Vec<PlanStep> {
+fn room_for(p: &PlanInput, runner: &Name, want: &Name) -> Vec<PlanStep> {
     let Some(o) = p.offers.iter().find(|o| o.runner.instance == *runner) else { return vec![] };
     let wanted = |n: &Name| p.demand_of(n) > 0;
     let base = p.config.adapter(want).map(|a| a.model.clone());
@@ -36,7 +36,7 @@
     let tuned = is_adapter(p.config, want);
     idle.sort_by_key(|n| (is_adapter(p.config, n) != tuned, std::cmp::Reverse(p.config.weight(n))));
     let (mut free, need) = (free_mb(p.config, o, p.flights), p.config.weight(want).unwrap_or(0));
-    let mut slot = !tuned || super::room::adapters_free(p.config, o, p.flights) > 0;
+    let mut slot = !tuned || super::free_room::adapters_free(p.config, o, p.flights) > 0;
     let mut steps = Vec::new();
     for name in idle {
         if free >= need && slot {
@@ -50,7 +50,7 @@
 }
 
 /// A plan for all names, of up to `most` loads; how many rooms were weighed is added to `weighed`.
-pub fn whole(p: &Picture, id: PlanId, why: &str, most: usize, weighed: &Cell<u64>) -> PlacementPlan {
+pub fn whole(p: &PlanInput, id: PlanId, why: &str, most: usize, weighed: &Cell<u64>) -> PlacementPlan {
     let mut layout = Layout::of(p);
     let evacuate = leave(p, &mut layout, id);
     let mut unplaced = Vec::new();
@@ -75,7 +75,8 @@
     }
     let mut left = most;
     for n in 0.. {
-        let nth = |room: &Room| Some(steps(room, std::slice::from_ref(room.load.get(n)?), true).remove(0));
+        let nth =
+            |room: &RunnerRoom| Some(steps(room, std::slice::from_ref(room.load.get(n)?), true).remove(0));
         let row: Vec<PlanStep> = rooms.iter().filter_map(nth).take(left).collect();
         if row.is_empty() {
             break;
@@ -88,7 +89,7 @@
     plan
 }
 
-fn steps(room: &Room, names: &[Name], load: bool) -> Vec<PlanStep> {
+fn steps(room: &RunnerRoom, names: &[Name], load: bool) -> Vec<PlanStep> {
     let one = |name: &Name| {
         let (runner, name) = (room.runner.clone(), name.clone());
         if load { PlanStep::Load { runner, name } } else { PlanStep::Unload { runner, name } }
@@ -96,12 +97,12 @@
     names.iter().map(one).collect()
 }
 
-fn leave(p: &Picture, layout: &mut Layout, id: PlanId) -> Vec<PlanStep> {
+fn leave(p: &PlanInput, layout: &mut Layout, id: PlanId) -> Vec<PlanStep> {
     let mut out = Vec::new();
     let mut taken: BTreeMap<&Name, u64> = BTreeMap::new();
     for o in p.offers.iter().filter(|o| o.runner.leaving && !p.busy.contains(&o.runner.instance)) {
         for (model, runs) in &o.report.runs {
-            let free = |t: &&super::flights::Offer| {
+            let free = |t: &&super::pending_orders::RunnerState| {
                 let used = taken.get(&t.runner.instance).copied().unwrap_or(0);
                 t.report.slots.saturating_sub(t.report.running + used) > 0
                     && !p.busy.contains(&t.runner.instance)
@@ -110,7 +111,7 @@
                 || p.offers.iter().filter(|t| !t.runner.leaving && t.runner.service == o.runner.service);
             let held = mates().filter(free).filter(|t| t.report.has(model)).min_by_key(|t| t.report.running);
             let mb = p.config.weight(model).unwrap_or(u64::MAX);
-            let roomy = |t: &&super::flights::Offer| layout.has_free(&t.runner.instance, mb);
+            let roomy = |t: &&super::pending_orders::RunnerState| layout.has_free(&t.runner.instance, mb);
             let Some(to) =
                 held.or_else(|| mates().filter(free).filter(roomy).min_by_key(|t| t.report.running))
             else {
--- a/src/placement/drive.rs
+++ b/src/placement/plan_execution.rs
@@ -1,4 +1,4 @@
-use super::duty::{Placement, REPORT};
+use super::component::{Placement, REPORT};
 use crate::fleet::config::Allowance;
 use crate::fleet::plan::*;
 use crate::fleet::runner::RunnerReport;
@@ -10,14 +10,14 @@
 
 const AGAIN: Span = Span::ms(600);
 
-pub struct Row {
+pub struct StageProgress {
     stage: u64,
     since: Time,
     tries: u64,
     told: Time,
 }
 
-enum At {
+enum StepState {
     Done,
     Open,
     Lost(String),
@@ -33,10 +33,10 @@
 
     fn run_plan(&mut self, p: &PlacementPlan, s: &DutySlice, ctx: &mut Context) {
         let Some(stage) = p.current_stage() else { return };
-        let new = Row { stage: p.stage, since: ctx.now, tries: 0, told: Time(0) };
+        let new = StageProgress { stage: p.stage, since: ctx.now, tries: 0, told: Time(0) };
         let row = self.rows.entry(p.id).or_insert(new);
         if row.stage != p.stage {
-            *row = Row { stage: p.stage, since: ctx.now, tries: 0, told: Time(0) };
+            *row = StageProgress { stage: p.stage, since: ctx.now, tries: 0, told: Time(0) };
         }
         if ctx.now.since(row.told) < AGAIN && row.told != Time(0) {
             return;
@@ -47,9 +47,11 @@
         let mut open = 0;
         for step in &stage.steps {
             match self.run_step(p, step, s, ctx) {
-                At::Done => {}
-                At::Open => open += 1,
-                At::Lost(why) => return self.close(p, PlanState::Stopped, &why, (ms, tries, most), ctx),
+                StepState::Done => {}
+                StepState::Open => open += 1,
+                StepState::Lost(why) => {
+                    return self.close(p, PlanState::Stopped, &why, (ms, tries, most), ctx);
+                }
             }
         }
         if open == 0 {
@@ -63,37 +65,43 @@
         }
     }
 
-    fn run_step(&mut self, p: &PlacementPlan, step: &PlanStep, s: &DutySlice, ctx: &mut Context) -> At {
+    fn run_step(
+        &mut self,
+        p: &PlacementPlan,
+        step: &PlanStep,
+        s: &DutySlice,
+        ctx: &mut Context,
+    ) -> StepState {
         match step {
             PlanStep::Load { runner, name } => {
                 let Some(r) = self.heard(runner, ctx.now) else { return self.absent(runner, s) };
                 if r.has(name) {
-                    return At::Done;
+                    return StepState::Done;
                 }
                 if self.fits_at(runner, name, s, ctx.now) && self.order(runner, name, true, ctx) {
                     self.tried(p);
                 }
-                At::Open
+                StepState::Open
             }
             PlanStep::Unload { runner, name } => {
                 let Some(r) = self.heard(runner, ctx.now) else { return self.absent(runner, s) };
                 if !r.has(name) {
-                    return At::Done;
+                    return StepState::Done;
                 }
                 if r.runs_of(name) > 0 {
-                    return At::Lost(format!("streams of {name} began on {runner}; it keeps them"));
+                    return StepState::Lost(format!("streams of {name} began on {runner}; it keeps them"));
                 }
                 if self.order(runner, name, false, ctx) {
                     self.tried(p);
                 }
-                At::Open
+                StepState::Open
             }
             PlanStep::Move { id, service, model, from, to, want } => {
                 if let Some(m) = s.moves.iter().find(|m| m.id == *id) {
                     return match m.phase {
-                        Phase::Done => At::Done,
-                        Phase::Stopped => At::Lost(format!("{step}: {}", m.why)),
-                        _ => At::Open,
+                        Phase::Done => StepState::Done,
+                        Phase::Stopped => StepState::Lost(format!("{step}: {}", m.why)),
+                        _ => StepState::Open,
                     };
                 }
                 let plan = MovePlan {
@@ -108,7 +116,7 @@
                     stages: vec![],
                 };
                 if s.moves.iter().any(|m| m.is_active() && m.conflicts_with(&plan)) {
-                    return At::Open;
+                    return StepState::Open;
                 }
                 let sent = self.sent.get(id).is_some_and(|t| ctx.now.since(*t) < AGAIN);
                 if !sent {
@@ -118,7 +126,7 @@
                     self.tell_head(Change::Move { id, plan }, ctx);
                     self.tried(p);
                 }
-                At::Open
+                StepState::Open
             }
         }
     }
@@ -134,11 +142,11 @@
         Some(row.1.clone())
     }
 
-    fn absent(&self, runner: &Name, s: &DutySlice) -> At {
+    fn absent(&self, runner: &Name, s: &DutySlice) -> StepState {
         if s.runners.iter().any(|r| r.instance == *runner) {
-            return At::Open;
+            return StepState::Open;
         }
-        At::Lost(format!("{runner} is no longer listed; propose again"))
+        StepState::Lost(format!("{runner} is no longer listed; propose again"))
     }
 
     fn close(
--- a/src/placement/picture.rs
+++ b/src/placement/plan_input.rs
@@ -1,15 +1,15 @@
-use super::flights::{Flights, Offer};
+use super::pending_orders::{PendingOrders, RunnerState};
 use crate::fleet::FleetConfig;
 use crate::fleet::plan::{PlacementPlan, PlanStage, PlanState, PlanStep};
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
 use std::collections::BTreeMap;
 
-pub struct Picture<'a> {
+pub struct PlanInput<'a> {
     pub config: &'a FleetConfig,
     pub config_version: Version,
-    pub offers: Vec<Offer>,
-    pub flights: &'a Flights,
+    pub offers: Vec<RunnerState>,
+    pub flights: &'a PendingOrders,
     pub now: Time,
     pub demand: BTreeMap<Name, u64>,
     pub credit: BTreeMap<Name, u64>,
@@ -19,12 +19,12 @@
 pub const UNLOAD_MS: u64 = 400;
 pub const STEP_MS: u64 = 300;
 
-impl Picture<'_> {
+impl PlanInput<'_> {
     pub fn demand_of(&self, name: &Name) -> u64 {
         self.demand.get(name).copied().unwrap_or(0)
     }
 
-    pub fn holders<'b>(&'b self, name: &'b Name) -> impl Iterator<Item = &'b Offer> {
+    pub fn holders<'b>(&'b self, name: &'b Name) -> impl Iterator<Item = &'b RunnerState> {
         self.offers.iter().filter(|o| o.report.has(name) && !o.runner.leaving)
     }
 
--- a/src/placement/trial.rs
+++ b/src/placement/plan_rehearsal.rs
@@ -1,14 +1,14 @@
-use super::picture::Picture;
+use super::plan_input::PlanInput;
 use crate::fleet::plan::{PlacementPlan, PlanStep};
 use crate::kernel::ids::Name;
 use std::collections::BTreeMap;
 
-pub struct Rehearsed {
+pub struct PlanRehearsal {
     pub note: String,
     pub faults: Vec<String>,
 }
 
-pub fn rehearse(p: &Picture, plan: &PlacementPlan) -> Rehearsed {
+pub fn rehearse(p: &PlanInput, plan: &PlacementPlan) -> PlanRehearsal {
     let mut faults = Vec::new();
     let mut used: BTreeMap<&Name, (u64, u64)> = BTreeMap::new();
     for o in &p.offers {
@@ -92,9 +92,9 @@
         bare.len(),
         faults.len()
     );
-    Rehearsed { note, faults }
+    PlanRehearsal { note, faults }
 }
 
-fn stays(p: &Picture, runner: &Name) -> bool {
+fn stays(p: &PlanInput, runner: &Name) -> bool {
     p.offers.iter().any(|o| o.runner.instance == *runner && !o.runner.leaving)
 }
--- a/src/placement/demand.rs
+++ b/src/placement/proposals.rs
@@ -1,15 +1,15 @@
-use super::duty::Placement;
-use super::flights::{Flight, Flights, Offer};
-use super::picture::Picture;
-use super::planner::whole;
-use super::trial::rehearse;
+use super::component::Placement;
+use super::pending_orders::{PendingOrder, PendingOrders, RunnerState};
+use super::plan_building::whole;
+use super::plan_input::PlanInput;
+use super::plan_rehearsal::rehearse;
 use crate::fleet::plan::*;
 use crate::fleet::slice::DutySlice;
 use crate::fleet::state::Change;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
-use crate::rollout::tell::report_freshness;
+use crate::rollout::router_reports::report_freshness;
 use std::collections::BTreeMap;
 
 const CLAIM: Span = Span::ms(1000);
@@ -65,7 +65,7 @@
         rows
     }
 
-    pub fn counted(&self, s: &DutySlice, now: Time) -> Flights {
+    pub fn counted(&self, s: &DutySlice, now: Time) -> PendingOrders {
         let mut all = self.flights.clone();
         let unseen = self.unseen.values().flat_map(|r| &r.1);
         for step in s.plans.iter().filter(|p| p.is_running()).flat_map(|p| p.steps()).chain(unseen) {
@@ -76,7 +76,7 @@
             }
             let (mb, adapter) = (s.config.weight(name).unwrap_or(0), s.config.adapter(name).is_some());
             let (runner, name) = (runner.clone(), name.clone());
-            let row = Flight::planned(runner, name, mb, adapter, now);
+            let row = PendingOrder::planned(runner, name, mb, adapter, now);
             all.rows.insert(OrderId(u64::MAX - all.rows.len() as u64), row);
         }
         all
@@ -99,7 +99,8 @@
             return;
         }
         let offers = self.offers(ctx.now);
-        let going = |o: &Offer| o.runner.leaving && !(o.report.runs.is_empty() && o.report.holds.is_empty());
+        let going =
+            |o: &RunnerState| o.runner.leaving && !(o.report.runs.is_empty() && o.report.holds.is_empty());
         if let Some(o) = offers.iter().find(|o| going(o) && !self.claimed(&o.runner.instance, ctx.now))
             && ctx.now.since(self.cleared) >= LEAVE
         {
@@ -124,15 +125,15 @@
         &self,
         s: &'a DutySlice,
         demand: &[(Name, Name, u64)],
-        flights: &'a Flights,
+        flights: &'a PendingOrders,
         ctx: &Context,
-    ) -> Picture<'a> {
+    ) -> PlanInput<'a> {
         let mut sum: BTreeMap<Name, u64> = BTreeMap::new();
         for (_, name, n) in demand {
             *sum.entry(name.clone()).or_default() += n;
         }
         let credit = s.config.services.iter().map(|x| (x.name.clone(), self.credit(&x.name, ctx)));
-        Picture {
+        PlanInput {
             config: &s.config,
             config_version: s.config_version,
             offers: self.offers(ctx.now),
@@ -181,7 +182,7 @@
     pub(super) fn submit(
         &mut self,
         mut plan: PlacementPlan,
-        tried: super::trial::Rehearsed,
+        tried: super::plan_rehearsal::PlanRehearsal,
         s: &DutySlice,
         ctx: &mut Context,
         want: Option<&Name>,
--- a/src/placement/copies.rs
+++ b/src/placement/replica_capacity.rs
@@ -4,8 +4,8 @@
 //! over its holders; a holder then carries of one model what its easy load leaves beside the others.
 #![deny(missing_docs)]
 
-use super::flights::Offer;
-use super::uses::Uses;
+use super::pending_orders::RunnerState;
+use super::usage::UsageByName;
 use crate::fleet::config::{FleetConfig, Service};
 use crate::kernel::ids::Name;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 
 /// What is known of a model over all its holders.
 #[derive(Clone, Copy, Default, Debug)]
-struct Held {
+struct ModelReplicas {
     holders: u64,
     runs: u64,
     tokens: u64,
@@ -30,19 +30,19 @@
 
 /// The models held, and how many of their requests the holders carry.
 #[derive(Default)]
-pub struct Copies<'a> {
-    rows: BTreeMap<&'a Name, Held>,
+pub struct ReplicaCapacity<'a> {
+    rows: BTreeMap<&'a Name, ModelReplicas>,
     /// What each runner has under way of its easy load, if each model is spread evenly; by place.
     busy: Vec<f64>,
     /// Adapters in use, by their model.
     adapters: BTreeMap<&'a Name, u64>,
 }
 
-impl<'a> Copies<'a> {
+impl<'a> ReplicaCapacity<'a> {
     /// Counts over the reports of runners that stay.
-    pub fn of(offers: &'a [Offer], uses: &Uses, config: &'a FleetConfig) -> Copies<'a> {
-        let mut copies = Copies::default();
-        let models = |o: &'a Offer| o.report.holds.iter().filter(|n| config.model(n).is_some());
+    pub fn of(offers: &'a [RunnerState], uses: &UsageByName, config: &'a FleetConfig) -> ReplicaCapacity<'a> {
+        let mut copies = ReplicaCapacity::default();
+        let models = |o: &'a RunnerState| o.report.holds.iter().filter(|n| config.model(n).is_some());
         for offer in offers.iter().filter(|o| !o.runner.leaving) {
             for name in models(offer) {
                 let held = copies.rows.entry(name).or_default();
@@ -73,7 +73,7 @@
     }
 
     /// The requests of a model that run at each of its holders, if they are spread evenly.
-    fn share(&self, name: &Name, uses: &Uses) -> f64 {
+    fn share(&self, name: &Name, uses: &UsageByName) -> f64 {
         let holders = self.rows.get(name).map_or(0, |held| held.holders).max(1);
         uses.get(name).map_or(0, |u| u.runs) as f64 / holders as f64
     }
--- a/src/placement/look.rs
+++ b/src/placement/report_polling.rs
@@ -1,5 +1,5 @@
-use super::choose::SETTLED;
-use super::duty::Placement;
+use super::component::Placement;
+use super::runner_choice::SETTLED;
 use crate::fleet::holdings::UnmetDemand;
 use crate::fleet::runner::RunnerReport;
 use crate::kernel::component::Context;
@@ -25,12 +25,12 @@
 pub const NO_ROOM: u16 = 409;
 
 #[derive(Clone, Copy, Default)]
-pub struct Look {
+pub struct PollState {
     next: Time,
     asked: Option<Time>,
 }
 
-impl Look {
+impl PollState {
     /// When the report that is awaited was asked for.
     pub fn asked(&self) -> Option<Time> {
         self.asked
@@ -42,7 +42,7 @@
     Span((WORK.0 * runners as u64 / RUNNERS_ASKED_OFTEN).clamp(WORK.0, REST.0))
 }
 
-pub type Looks = BTreeMap<Name, Look>;
+pub type Polls = BTreeMap<Name, PollState>;
 
 impl Placement {
     pub fn look_at(&mut self, runner: &Name, when: Time) {
@@ -59,7 +59,7 @@
         let mut left = LOOKS_PER_TICK.max(s.runners.len() / RUNNERS_PER_LOOK);
         for r in self.reporting(&s) {
             if !self.looks.contains_key(&r.instance) {
-                self.looks.insert(r.instance.clone(), Look::default());
+                self.looks.insert(r.instance.clone(), PollState::default());
             }
             let Some(l) = self.looks.get_mut(&r.instance) else { continue };
             let open = l.asked.is_some_and(|t| ctx.now.since(t) < LOST);
--- a/src/placement/choose.rs
+++ b/src/placement/runner_choice.rs
@@ -1,8 +1,8 @@
 //! Where a wanted model or adapter is loaded, and what gives way to it.
 
-use super::board::Board;
-use super::flights::{Offer, is_adapter};
-use super::room::{adapters_free, free_mb};
+use super::decision_state::DecisionState;
+use super::free_room::{adapters_free, free_mb};
+use super::pending_orders::{RunnerState, is_adapter};
 use crate::kernel::ids::Name;
 use crate::kernel::time::Span;
 
@@ -41,15 +41,15 @@
 }
 
 /// What a load costs at the runner at one place.
-struct Weighed<'a> {
+struct ScoredRunner<'a> {
     place: usize,
     unloads: Vec<&'a Name>,
     ms: u64,
     loss: u64,
 }
 
-impl<'a> Board<'a> {
-    fn tuned(&self, o: &Offer, base: &Name) -> f64 {
+impl<'a> DecisionState<'a> {
+    fn tuned(&self, o: &RunnerState, base: &Name) -> f64 {
         let on = o.report.holds.iter().filter(|n| self.config().adapter(n).is_some_and(|a| a.model == *base));
         on.filter_map(|n| self.usage.names.get(n)).map(|u| u.per_s).sum()
     }
@@ -64,7 +64,7 @@
     }
 
     /// What it costs, in ms of waiting, that `name` leaves this runner.
-    fn loss(&self, o: &Offer, name: &Name) -> Option<f64> {
+    fn loss(&self, o: &RunnerState, name: &Name) -> Option<f64> {
         let runner = &o.runner.instance;
         if self.stays(runner, name) {
             return None;
@@ -96,7 +96,7 @@
         Some(loss)
     }
 
-    fn droppable(&self, o: &'a Offer) -> Vec<(f64, &'a Name)> {
+    fn droppable(&self, o: &'a RunnerState) -> Vec<(f64, &'a Name)> {
         let rows = o.report.holds.iter().filter_map(|n| Some((self.loss(o, n)?, n)));
         let mut rows: Vec<(f64, &Name)> = rows.collect();
         rows.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
@@ -118,7 +118,7 @@
 
     fn unloads<'c>(
         &self,
-        o: &Offer,
+        o: &RunnerState,
         costs: &'c RunnerCosts<'a>,
         want: &Name,
         need: u64,
@@ -145,13 +145,13 @@
         (free >= need).then_some((names, loss))
     }
 
-    fn weight(&self, o: &Offer, name: &Name) -> u64 {
+    fn weight(&self, o: &RunnerState, name: &Name) -> u64 {
         let c = self.config();
         let mine = |n: &&Name| *n == name || c.base_of(n) == Some(name);
         o.report.holds.iter().filter(mine).filter_map(|n| c.min_mb(n)).sum()
     }
 
-    fn weigh(&self, place: usize, want: &Name) -> Option<Weighed<'a>> {
+    fn weigh(&self, place: usize, want: &Name) -> Option<ScoredRunner<'a>> {
         let (o, c) = (&self.offers[place], self.config());
         let runner = &o.runner.instance;
         if self.is_busy(runner) || o.report.has(want) {
@@ -176,11 +176,11 @@
             + if tuned { costs.adapters * 10 } else { (self.copies().busy(place).min(1.0) * BUSY_MS) as u64 };
         let churn = if tuned { 0.0 } else { costs.churn };
         let ms = load + crowd + loss as u64 + churn as u64;
-        Some(Weighed { place, unloads, ms, loss: loss as u64 })
+        Some(ScoredRunner { place, unloads, ms, loss: loss as u64 })
     }
 
     /// Adapters of a base that is in use can't be loaded while a model is.
-    fn churn(&self, o: &Offer) -> f64 {
+    fn churn(&self, o: &RunnerState) -> f64 {
         let all = self.bases.get_or_init(|| self.config().adapters.iter().map(|a| &a.model).collect());
         let bases = o.report.holds.iter().filter(|n| all.contains(n));
         let rates = bases.filter_map(|n| self.usage.names.get(n)).map(|u| u.per_s);
@@ -198,7 +198,7 @@
         };
         let mine = places.iter().filter(|k| self.offers[**k].runner.service == *service);
         let rows = mine.filter_map(|k| self.weigh(*k, want));
-        let runner = |row: &Weighed| &self.offers[row.place].runner.instance;
+        let runner = |row: &ScoredRunner| &self.offers[row.place].runner.instance;
         let best = rows.min_by(|a, b| (a.ms, runner(a)).cmp(&(b.ms, runner(b))))?;
         Some(Choice {
             runner: runner(&best).clone(),
--- a/src/placement/fill.rs
+++ b/src/placement/runners.rs
@@ -1,6 +1,6 @@
-use super::duty::{Placement, REPORT};
-use super::flights::{Offer, is_adapter};
-use super::room::fits;
+use super::component::{Placement, REPORT};
+use super::free_room::fits;
+use super::pending_orders::{RunnerState, is_adapter};
 use crate::daemon::assemble::Policy;
 use crate::fleet::config::ServiceKind;
 use crate::fleet::runner::Runner;
@@ -20,7 +20,7 @@
     pub fn preempt(
         &mut self,
         s: &DutySlice,
-        offers: &[Offer],
+        offers: &[RunnerState],
         service: &Name,
         want: &Name,
         hot: &[Name],
@@ -29,7 +29,8 @@
         if self.policy != Policy::Preempt || is_adapter(&s.config, want) {
             return;
         }
-        let busy = |o: &&Offer| o.report.holds.iter().any(|n| !hot.contains(n) && !is_adapter(&s.config, n));
+        let busy =
+            |o: &&RunnerState| o.report.holds.iter().any(|n| !hot.contains(n) && !is_adapter(&s.config, n));
         let mine = offers.iter().filter(|o| o.runner.service == *service);
         let Some(o) = mine.filter(busy).min_by_key(|o| o.report.running) else { return };
         let names = o.report.holds.iter().filter(|n| !hot.contains(n) && !is_adapter(&s.config, n));
@@ -92,15 +93,15 @@
     }
 
     /// The runners whose reports are fresh.
-    pub fn offers(&self, now: Time) -> Vec<Offer> {
+    pub fn offers(&self, now: Time) -> Vec<RunnerState> {
         let Some(s) = &self.slice else { return vec![] };
         s.runners.iter().filter_map(|r| self.offer(r, s, now)).collect()
     }
 
-    fn offer(&self, runner: &Runner, s: &DutySlice, now: Time) -> Option<Offer> {
+    fn offer(&self, runner: &Runner, s: &DutySlice, now: Time) -> Option<RunnerState> {
         let (at, report) = self.reports.get(&runner.instance)?;
         let fresh = now.since(*at) < REPORT && report.instance == runner.instance;
-        fresh.then(|| Offer { runner: runner.clone(), report: self.known(s, report) })
+        fresh.then(|| RunnerState { runner: runner.clone(), report: self.known(s, report) })
     }
 
     /// Whether a load of `name` fits at a runner by its fresh report.
--- a/src/placement/pacer.rs
+++ b/src/placement/store_budget.rs
@@ -15,7 +15,7 @@
 }
 
 #[derive(Clone, Default, Debug)]
-pub struct Pacer {
+pub struct StoreBudget {
     clock: Time,
     seen: Time,
     level: f64,
@@ -24,7 +24,7 @@
     past: VecDeque<Time>,
 }
 
-impl Pacer {
+impl StoreBudget {
     pub fn tick(&mut self, now: Time) {
         let gap = now.since(self.seen);
         self.clock = self.clock + if gap > STRIDE { Span(0) } else { gap };
@@ -36,7 +36,7 @@
     }
 
     pub fn found(&mut self, rule: &Store) {
-        *self = Pacer { clock: self.clock, seen: self.seen, at: self.clock, ..Pacer::default() };
+        *self = StoreBudget { clock: self.clock, seen: self.seen, at: self.clock, ..StoreBudget::default() };
         self.level = rule.burst as f64;
     }
 
--- a/src/placement/uses.rs
+++ b/src/placement/usage.rs
@@ -1,12 +1,12 @@
 //! How much models, adapters and runners are used, by what routers tell.
 
-use super::duty::Placement;
+use super::component::Placement;
 use crate::fleet::config::Class;
 use crate::fleet::holdings::UnmetDemand;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::RouterReport;
-use crate::rollout::tell::report_freshness;
+use crate::rollout::router_reports::report_freshness;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 
 /// How much a model or adapter is used.
 #[derive(Clone, Copy, Debug)]
-pub struct Use {
+pub struct UsageTotal {
     /// How long nobody has used it.
     pub idle: Span,
     /// Requests a second.
@@ -28,20 +28,20 @@
     pub runs: u64,
 }
 
-impl Default for Use {
-    fn default() -> Use {
-        Use { idle: Span(u64::MAX >> 1), per_s: 0.0, runs: 0 }
+impl Default for UsageTotal {
+    fn default() -> UsageTotal {
+        UsageTotal { idle: Span(u64::MAX >> 1), per_s: 0.0, runs: 0 }
     }
 }
 
 /// The uses by name.
-pub type Uses = BTreeMap<Name, Use>;
+pub type UsageByName = BTreeMap<Name, UsageTotal>;
 
 /// What all routers together tell of the use of names and runners.
 #[derive(Default)]
 pub struct Usage {
     /// By model or adapter.
-    pub names: Uses,
+    pub names: UsageByName,
     /// By runner: the models with requests under way.
     pub running: BTreeMap<Name, Vec<(Name, u64)>>,
     made: Time,
@@ -54,7 +54,7 @@
         now: Time,
     ) -> Usage {
         let freshness = report_freshness(tells.len());
-        let mut names = Uses::new();
+        let mut names = UsageByName::new();
         let mut running: BTreeMap<&Name, BTreeMap<&Name, u64>> = BTreeMap::new();
         let mut rates: BTreeMap<&Name, (u64, u64)> = BTreeMap::new();
         for (at, tell) in tells.values() {
@@ -70,13 +70,16 @@
             }
         }
         for (name, (milli_per_s, runs)) in rates {
-            let row = Use { per_s: milli_per_s as f64 / 1000.0, runs, ..Use::default() };
+            let row = UsageTotal { per_s: milli_per_s as f64 / 1000.0, runs, ..UsageTotal::default() };
             names.insert(name.clone(), row);
         }
         for (name, last) in used {
             match names.get_mut(name) {
                 Some(row) => row.idle = now.since(*last),
-                None => drop(names.insert(name.clone(), Use { idle: now.since(*last), ..Use::default() })),
+                None => drop(
+                    names
+                        .insert(name.clone(), UsageTotal { idle: now.since(*last), ..UsageTotal::default() }),
+                ),
             }
         }
         let rows = |m: BTreeMap<&Name, u64>| m.into_iter().map(|(name, n)| (name.clone(), n)).collect();
--- a/src/placement/wants.rs
+++ b/src/placement/wanted_names.rs
@@ -1,7 +1,7 @@
 //! The names that requests wait for, as routers tell them.
 #![deny(missing_docs)]
 
-use super::duty::Placement;
+use super::component::Placement;
 use crate::fleet::config::Class;
 use crate::fleet::holdings::UnmetDemand;
 use crate::kernel::ids::{Name, NodeId};
@@ -18,7 +18,7 @@
 const FIRST_MS: u64 = 100;
 
 /// A name that requests wait for.
-pub struct Wanted {
+pub struct WantedName {
     /// Its service.
     pub service: Name,
     /// The most urgent class that waits.
@@ -30,7 +30,7 @@
     rows: BTreeMap<NodeId, (Time, u64)>,
 }
 
-impl Wanted {
+impl WantedName {
     /// How many requests wait.
     pub fn count(&self) -> u64 {
         self.rows.values().map(|r| r.1).sum()
@@ -54,7 +54,7 @@
     pub fn wanted(&mut self, from: NodeId, want: &UnmetDemand, now: Time) {
         let row = self.wants.entry(want.name.clone()).or_insert_with(|| {
             self.work.stirred = true;
-            Wanted {
+            WantedName {
                 service: want.service.clone(),
                 class: want.class,
                 since: now,
--- a/src/placement/retire.rs
+++ b/src/placement/withdrawn_names.rs
@@ -1,8 +1,8 @@
 //! Unloads what runners hold of models and adapters that no configuration offers any more.
 #![deny(missing_docs)]
 
-use super::duty::Placement;
-use super::flights::Offer;
+use super::component::Placement;
+use super::pending_orders::RunnerState;
 use crate::fleet::config::FleetConfig;
 use crate::fleet::slice::DutySlice;
 use crate::kernel::component::Context;
@@ -25,7 +25,7 @@
         }
         let planned = self.busy(s, ctx.now);
         let offers = self.offers(ctx.now);
-        let free = |o: &&Offer| !o.runner.leaving && !planned.contains(&o.runner.instance);
+        let free = |o: &&RunnerState| !o.runner.leaving && !planned.contains(&o.runner.instance);
         for offer in offers.iter().filter(free) {
             if let Some(name) = self.withdrawn_at(offer, &s.config, ctx.now) {
                 self.order(&offer.runner.instance, &name, false, ctx);
@@ -34,7 +34,7 @@
     }
 
     /// A withdrawn name that a runner can unload now. An adapter goes with its model where both were withdrawn.
-    fn withdrawn_at(&self, offer: &Offer, config: &FleetConfig, now: Time) -> Option<Name> {
+    fn withdrawn_at(&self, offer: &RunnerState, config: &FleetConfig, now: Time) -> Option<Name> {
         let (report, runner) = (&offer.report, &offer.runner.instance);
         let gone = |name: &Name| config.weight(name).is_none();
         let goes_along =
--- a/src/rollout/head.rs
+++ b/src/rollout/candidate.rs
@@ -16,7 +16,7 @@
 /// How often old reports are looked for.
 const FORGET_EVERY: Span = Span::ms(1000);
 
-struct Trial {
+struct CandidateRollout {
     id: ChangeId,
     since: Time,
     stage_since: Time,
@@ -30,7 +30,7 @@
 #[derive(Default)]
 pub struct Rollout {
     tells: BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
-    trial: Option<Trial>,
+    trial: Option<CandidateRollout>,
     asked: Option<(ChangeId, Time)>,
     spread: Option<(Version, Time)>,
     spread_ms: Option<(Version, u64)>,
@@ -74,7 +74,7 @@
             let asked = self.asked.filter(|a| a.0 == id).map_or(ctx.now, |a| a.1);
             let ms = ctx.now.since(asked).as_ms();
             let note = "no faults; recorded by every member of the chain".to_string();
-            self.trial = Some(Trial {
+            self.trial = Some(CandidateRollout {
                 id,
                 since: ctx.now,
                 stage_since: ctx.now,
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,3 +1,3 @@
-pub mod head;
-pub mod tell;
-pub use head::Rollout;
+pub mod candidate;
+pub mod router_reports;
+pub use candidate::Rollout;
--- a/src/rollout/tell.rs
+++ b/src/rollout/router_reports.rs
@@ -6,7 +6,7 @@
 use crate::kernel::rand::mix;
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
-use crate::placement::seeker::HolderContact;
+use crate::placement::placement_client::DutyHolderContact;
 use std::sync::Arc;
 
 /// With up to this many routers all controllers are told, so that a new holder knows the use of names at once.
@@ -57,8 +57,8 @@
 /// of the placement duty is, at intervals, and the head of what it uses: routes, changes that are tried, and runners
 /// that are leaving. Nobody is told in the holder's place while it is not known: a new one makes itself known.
 #[derive(Default)]
-pub struct Teller {
-    contact: HolderContact,
+pub struct RouterReporter {
+    contact: DutyHolderContact,
     holder: Option<NodeId>,
     view: ViewNo,
     /// When the holder is to be told next.
@@ -66,7 +66,7 @@
     told_head: ToldHead,
 }
 
-impl Teller {
+impl RouterReporter {
     fn note_changes(&mut self, ctx: &Context) {
         let (view, holder) =
             (ctx.views.view.as_ref().map_or(ViewNo(0), |v| v.no), self.contact.holder(ctx.now));
@@ -120,7 +120,7 @@
     now + Span(interval.0 - since_turn)
 }
 
-impl Component for Teller {
+impl Component for RouterReporter {
     fn name(&self) -> &'static str {
         "teller"
     }
--- a/tests/distrust.rs
+++ b/tests/distrust.rs
@@ -2,8 +2,8 @@
 use spindledock::fleet::runner::RunnerReport;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
-use spindledock::placement::distrust::{Distrust, FIRST_PAUSE, FORGOTTEN_AFTER, LONGEST_PAUSE};
-use spindledock::placement::flights::{Flight, Flights};
+use spindledock::placement::load_backoff::{FIRST_PAUSE, FORGOTTEN_AFTER, LONGEST_PAUSE, LoadBackoff};
+use spindledock::placement::pending_orders::{PendingOrder, PendingOrders};
 
 const NOW: Time = Time(60_000_000);
 
@@ -13,7 +13,7 @@
 
 #[test]
 fn given_a_runner_whose_loads_fail_when_they_are_tried_again_then_each_pause_is_twice_as_long() {
-    let mut distrust = Distrust::default();
+    let mut distrust = LoadBackoff::default();
     assert!(!distrust.is_paused(&runner(), NOW) && !distrust.is_doubted(&runner()));
     let (mut now, mut pause) = (NOW, FIRST_PAUSE);
     for _ in 0..12 {
@@ -41,7 +41,7 @@
         loading: vec![Name::from("mid")],
         ..RunnerReport::default()
     };
-    let mut distrust = Distrust::default();
+    let mut distrust = LoadBackoff::default();
     assert_eq!(distrust.corrected(&config, report.clone()).used_mb, 0, "believed until a load fails");
     distrust.failed(&runner(), NOW);
     assert_eq!(distrust.corrected(&config, report.clone()).used_mb, 100);
@@ -51,8 +51,8 @@
 
 #[test]
 fn given_a_load_that_was_taken_when_no_report_ever_shows_it_then_it_counts_as_failed() {
-    let mut flights = Flights::default();
-    let flight = Flight::planned(runner(), Name::from("big"), 60, false, NOW);
+    let mut flights = PendingOrders::default();
+    let flight = PendingOrder::planned(runner(), Name::from("big"), 60, false, NOW);
     flights.rows.insert(OrderId(1), flight);
     flights.answered(NOW, OrderId(1), 200);
     let report = RunnerReport { instance: runner(), ..RunnerReport::default() };
--- a/tests/flight_table.rs
+++ b/tests/flight_table.rs
@@ -3,19 +3,19 @@
 use quickcheck::quickcheck;
 use spindledock::kernel::ids::{Name, OrderId};
 use spindledock::kernel::time::Time;
-use spindledock::placement::flight_table::FlightTable;
-use spindledock::placement::flights::Flight;
+use spindledock::placement::order_table::OrderTable;
+use spindledock::placement::pending_orders::PendingOrder;
 
 const RUNNERS: u8 = 5;
 const NAMES: u8 = 4;
 
-fn flight(runner: u8, name: u8, load: bool) -> Flight {
+fn flight(runner: u8, name: u8, load: bool) -> PendingOrder {
     let (runner, name) = (Name(format!("r{}", runner % RUNNERS)), Name(format!("m{}", name % NAMES)));
-    Flight { load, ..Flight::planned(runner, name, 1, false, Time(1)) }
+    PendingOrder { load, ..PendingOrder::planned(runner, name, 1, false, Time(1)) }
 }
 
 /// Whether each look-up finds what a search of all rows finds.
-fn is_consistent(table: &FlightTable) -> bool {
+fn is_consistent(table: &OrderTable) -> bool {
     let at = |n: u8| Name(format!("r{n}"));
     let of = |n: u8| Name(format!("m{n}"));
     let by_runner = |n: u8| table.values().filter(|f| f.runner == at(n)).count();
@@ -29,7 +29,7 @@
     fn given_any_changes_when_orders_are_looked_up_then_each_is_found_by_runner_and_by_name(
         steps: Vec<(u8, u8, u8, bool)>
     ) -> bool {
-        let mut table = FlightTable::default();
+        let mut table = OrderTable::default();
         steps.into_iter().all(|(kind, runner, name, load)| {
             let order = OrderId(u64::from(name) + 8 * u64::from(runner));
             match kind % 3 {
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -3,9 +3,9 @@
 use spindledock::fleet::runner::{Runner, RunnerReport};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
-use spindledock::placement::flights::{Flight, Flights, Offer};
-use spindledock::placement::nominate::{Way, estimates};
-use spindledock::placement::room::{fits, free_mb};
+use spindledock::placement::estimates::{Remedy, estimates};
+use spindledock::placement::free_room::{fits, free_mb};
+use spindledock::placement::pending_orders::{PendingOrder, PendingOrders, RunnerState};
 
 const NOW: Time = Time(9_000_000);
 
@@ -17,7 +17,7 @@
     read_text(text).expect("sound")
 }
 
-fn offer(name: &str, holds: &[&str], used: u64, runs: &[(&str, u64)]) -> Offer {
+fn offer(name: &str, holds: &[&str], used: u64, runs: &[(&str, u64)]) -> RunnerState {
     let runner = Runner {
         instance: Name::from(name),
         service: Name::from("s"),
@@ -36,15 +36,15 @@
         slots: 8,
         ..RunnerReport::default()
     };
-    Offer { runner, report }
+    RunnerState { runner, report }
 }
 
-fn flight(runner: &str, name: &str, mb: u64) -> Flight {
+fn flight(runner: &str, name: &str, mb: u64) -> PendingOrder {
     let (runner, name) = (Name::from(runner), Name::from(name));
-    Flight::planned(runner, name, mb, false, NOW)
+    PendingOrder::planned(runner, name, mb, false, NOW)
 }
 
-fn best(offers: &[Offer], f: &Flights, want: &str) -> Option<Way> {
+fn best(offers: &[RunnerState], f: &PendingOrders, want: &str) -> Option<Remedy> {
     let none = |_: &Name| false;
     let rows = estimates(&config(), offers, f, &Name::from(want), NOW, &|n| n.0 == want, &none);
     rows.first().map(|e| e.way.clone())
@@ -52,7 +52,7 @@
 
 #[test]
 fn given_a_load_in_flight_when_room_is_counted_then_it_is_taken_until_the_report_shows_it() {
-    let (c, mut o, mut f) = (config(), offer("a", &[], 0, &[]), Flights::default());
+    let (c, mut o, mut f) = (config(), offer("a", &[], 0, &[]), PendingOrders::default());
     assert!(fits(&c, &o, &f, &Name::from("big")));
     f.rows.insert(OrderId(1), flight("a", "big", 60));
     assert_eq!(free_mb(&c, &o, &f), 40);
@@ -76,25 +76,25 @@
 
 #[test]
 fn given_free_idle_and_busy_runners_when_a_model_is_wanted_then_the_soonest_way_is_taken() {
-    let f = Flights::default();
+    let f = PendingOrders::default();
     let free = || offer("free", &[], 0, &[]);
     let idle = || offer("idle", &["mid", "low"], 70, &[("low", 2)]);
     let busy = || offer("busy", &["mid"], 60, &[("mid", 2)]);
     let name = |n: &str| Name::from(n);
     let got = best(&[busy(), idle(), free()], &f, "big");
-    assert_eq!(got, Some(Way::Load { runner: name("free") }));
+    assert_eq!(got, Some(Remedy::Load { runner: name("free") }));
     let got = best(&[busy(), idle()], &f, "big");
-    assert_eq!(got, Some(Way::Unload { runner: name("idle"), name: name("mid") }));
+    assert_eq!(got, Some(Remedy::Unload { runner: name("idle"), name: name("mid") }));
     let full = offer("full", &["mid"], 90, &[("mid", 1)]);
     let got = best(&[busy(), full], &f, "big");
-    let Some(Way::Move { from, to, model }) = got else { panic!("{got:?}") };
+    let Some(Remedy::Move { from, to, model }) = got else { panic!("{got:?}") };
     assert_eq!((from.0.as_str(), to.0.as_str(), model.0.as_str()), ("busy", "full", "mid"));
     assert_eq!(best(&[busy()], &f, "big"), None, "no other runner can take the streams");
 }
 
 #[test]
 fn given_an_adapter_when_its_model_is_not_held_or_the_slots_are_full_then_it_is_not_loaded_there() {
-    let (c, f) = (config(), Flights::default());
+    let (c, f) = (config(), PendingOrders::default());
     let tune = Name::from("tune");
     assert!(!fits(&c, &offer("a", &["low"], 30, &[]), &f, &tune));
     assert!(fits(&c, &offer("a", &["mid"], 40, &[]), &f, &tune));
--- a/tests/report_pace.rs
+++ b/tests/report_pace.rs
@@ -13,8 +13,8 @@
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
 use spindledock::msg::*;
-use spindledock::placement::seeker::Seeker;
-use spindledock::rollout::tell::Teller;
+use spindledock::placement::placement_client::PlacementClient;
+use spindledock::rollout::router_reports::RouterReporter;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
 
 /// The reports that a router sends in ten seconds, by receiver.
 fn reports(n: u64, routers: u64, holder: bool, state: &RouterReport) -> Vec<(u64, NodeId)> {
-    let mut bench = Bench::new(Teller::default(), router(n), Role::Router, routers);
+    let mut bench = Bench::new(RouterReporter::default(), router(n), Role::Router, routers);
     let mut all = vec![];
     for step in 0..40 {
         bench.now = BEGIN + Span(STATE_EACH.0 * step + 1);
@@ -101,7 +101,7 @@
 
 #[test]
 fn given_293_routers_when_no_holder_is_known_then_wants_wait_and_one_controller_a_second_is_asked() {
-    let mut bench = Bench::new(Seeker::default(), router(1), Role::Router, LARGE);
+    let mut bench = Bench::new(PlacementClient::default(), router(1), Role::Router, LARGE);
     let mut asked = 0;
     let want = UnmetDemand { service: Name::from("s"), name: Name::from("m1"), class: Class::Chat, count: 1 };
     for step in 0..60 {
@@ -123,7 +123,7 @@
 
 #[test]
 fn given_a_router_that_passes_holdings_on_when_told_then_the_others_of_its_zone_hear_them_once() {
-    let mut bench = Bench::new(Seeker::default(), router(1), Role::Router, LARGE);
+    let mut bench = Bench::new(PlacementClient::default(), router(1), Role::Router, LARGE);
     let tell =
         HoldingsUpdate { holder: HOLDER, term: Term(1), seq: 1, whole: true, relay: true, rows: vec![] };
     let out = bench.mail(HOLDER, Msg::Holdings(Arc::new(tell)));
--- a/tests/sequences.rs
+++ b/tests/sequences.rs
@@ -3,7 +3,7 @@
 use spindledock::fleet::runner::RunnerReport;
 use spindledock::kernel::ids::Name;
 use spindledock::kernel::time::{Span, Time};
-use spindledock::placement::sequence::Sequences;
+use spindledock::placement::order_counts::OrderCounts;
 
 const NOW: Time = Time(50_000_000);
 
@@ -15,15 +15,15 @@
     NOW + Span::ms(ms)
 }
 
-fn known(orders: u64) -> (Sequences, Name) {
-    let mut s = Sequences::default();
+fn known(orders: u64) -> (OrderCounts, Name) {
+    let mut s = OrderCounts::default();
     s.reported(NOW, NOW, &report(orders));
     (s, Name::from("a1"))
 }
 
 #[test]
 fn given_a_runner_never_heard_of_when_an_order_is_wanted_then_no_count_is_known() {
-    assert_eq!(Sequences::default().expected(&Name::from("a1")), None);
+    assert_eq!(OrderCounts::default().expected(&Name::from("a1")), None);
 }
 
 #[test]
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -5,7 +5,7 @@
 use spindledock::kernel::ids::OrderId;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::launch::deployment::vanua;
-use spindledock::placement::pacer::Pacer;
+use spindledock::placement::store_budget::StoreBudget;
 use spindledock::sim::World;
 use spindledock::sim::check::room_and_store;
 use spindledock::sim::record::Fact;
@@ -26,7 +26,7 @@
 }
 
 struct Hand {
-    pacer: Pacer,
+    pacer: StoreBudget,
     now: Time,
     next: u64,
     loads: Vec<Time>,
@@ -48,7 +48,7 @@
 }
 
 fn hand() -> Hand {
-    Hand { pacer: Pacer::default(), now: Time(5_000_000), next: 0, loads: vec![] }
+    Hand { pacer: StoreBudget::default(), now: Time(5_000_000), next: 0, loads: vec![] }
 }
 
 #[test]
@@ -76,7 +76,7 @@
     one.pacer.tick(one.now);
     one.pacer.found(&RULE);
     one.run(Span::ms(7000), |_| Span(0));
-    let mut two = Hand { pacer: Pacer::default(), now: one.now, next: 0, loads: one.loads.clone() };
+    let mut two = Hand { pacer: StoreBudget::default(), now: one.now, next: 0, loads: one.loads.clone() };
     two.pacer.tick(two.now);
     two.pacer.follow(&RULE, Span::ms(1000));
     let before = two.loads.len();
--- a/tests/withdrawn.rs
+++ b/tests/withdrawn.rs
@@ -11,9 +11,9 @@
 use spindledock::kernel::ids::Name;
 use spindledock::kernel::rand::mix;
 use spindledock::kernel::time::Span;
-use spindledock::placement::distrust::most_used;
-use spindledock::placement::flights::{Flights, Offer};
-use spindledock::placement::room::fits;
+use spindledock::placement::free_room::fits;
+use spindledock::placement::load_backoff::most_used;
+use spindledock::placement::pending_orders::{PendingOrders, RunnerState};
 use spindledock::sim::World;
 use spindledock::sim::record::Fact;
 
@@ -141,8 +141,8 @@
             ..RunnerReport::default()
         };
         report.used_mb = most_used(config, &report);
-        let offer = Offer { runner, report };
-        assert!(!fits(config, &offer, &Flights::default(), &wanted), "{what}: 250 of 230 MB");
+        let offer = RunnerState { runner, report };
+        assert!(!fits(config, &offer, &PendingOrders::default(), &wanted), "{what}: 250 of 230 MB");
     }
     assert_eq!(back.min_mb(&name), Some(60), "an unload frees no more than the least");
     let unknown = RunnerReport { room_mb: 230, holds: vec![Name::from("never")], ..RunnerReport::default() };
