--- a/src/chain/own_change.rs
+++ b/src/chain/own_change.rs
@@ -54,7 +54,7 @@
     }
 
     fn plan_move(&mut self, id: ChangeId, plan: MovePlan, ctx: &mut Context) {
-        match crate::placement::move_check::check(&plan, &ctx.views.state) {
+        match crate::placement::move_check::check_move(&plan, &ctx.views.state) {
             Ok(()) => self.submit(id, Change::Move { id, plan }, ctx),
             Err(fault) => {
                 let code = OutcomeCode::BadMove;
--- a/src/cli/offline.rs
+++ b/src/cli/offline.rs
@@ -5,8 +5,8 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
 use crate::placement::pending_orders::{PendingOrders, RunnerState};
+use crate::placement::plan_building::full_plan;
 use crate::placement::plan_input::PlanInput;
-use crate::placement::plan_building::whole;
 use crate::placement::plan_rehearsal::rehearse;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -74,20 +74,20 @@
     }
     let (true, Some(config)) = (bad.is_empty(), config) else { return Err(bad) };
     let mut flights = PendingOrders::default();
-    flights.pacer.found(&config.store);
+    flights.store_budget.reset(&config.store);
     let credit = config.services.iter().map(|s| (s.name.clone(), config.budget.allowance)).collect();
     let (config, flights) = (&config, &flights);
     let p = PlanInput {
         config,
         config_version: Version(0),
-        offers,
-        flights,
+        runners: offers,
+        pending: flights,
         now: Time(0),
         demand,
-        credit,
-        busy: vec![],
+        retry_credit: credit,
+        busy_runners: vec![],
     };
-    let plan = whole(&p, PlanId(1), "planned offline", usize::MAX, &Cell::default());
+    let plan = full_plan(&p, PlanId(1), "planned offline", usize::MAX, &Cell::default());
     let tried = rehearse(&p, &plan);
     if !tried.faults.is_empty() {
         return Err(tried.faults);
--- a/src/daemon/assemble.rs
+++ b/src/daemon/assemble.rs
@@ -97,7 +97,7 @@
     node.add(Box::new(Rollout::default()));
     let bare_plain = !place.protocols.runner.plain_services_report();
     let mut duty = Placement::new(now, place.policy);
-    duty.bare_plain = bare_plain;
+    duty.has_unpolled_plain_runners = bare_plain;
     node.add(Box::new(duty));
     if let Some(timing) = place.list {
         node.add(Box::new(ListReader::new(now, timing)));
--- a/src/gate/learn.rs
+++ b/src/gate/learn.rs
@@ -1,5 +1,5 @@
 use super::core::Gate;
-use super::wait::QUIET;
+use super::wait::TAKEOVER_WAIT;
 use crate::fleet::runner::RunnerReport;
 use crate::fleet::slice::ServiceSlice;
 use crate::kernel::ids::*;
@@ -20,7 +20,7 @@
         self.gone = false;
         let old = self.slice.as_ref().map(|s| s.duty);
         if old.is_some_and(|t| t != slice.duty) {
-            self.pace.quiet_until = now + QUIET;
+            self.pace.quiet_until = now + TAKEOVER_WAIT;
         }
         self.pace.learn(&slice);
         self.tries.percent = slice.budget.percent as f64;
--- a/src/gate/wait.rs
+++ b/src/gate/wait.rs
@@ -5,7 +5,7 @@
 use crate::kernel::time::{Span, Time};
 
 const RETRY_MOST: u64 = 600;
-pub use crate::placement::component::QUIET;
+pub use crate::placement::component::TAKEOVER_WAIT;
 
 pub fn retry_s(wait: Span) -> u64 {
     wait.0.div_ceil(1_000_000).clamp(1, RETRY_MOST)
--- a/src/placement/backlog.rs
+++ b/src/placement/backlog.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 /// How often a holder logs what it has yet to do.
-const LOG_EVERY: Span = Span::ms(1000);
+const LOG_INTERVAL: Span = Span::ms(1000);
 
 /// What requests wait for, and what is done about it.
 #[derive(Default)]
@@ -28,16 +28,16 @@
 
 impl Placement {
     /// Logs once a second what this holder has yet to do.
-    pub(super) fn log_needs(&mut self, ctx: &mut Context) {
+    pub(super) fn log_backlog(&mut self, ctx: &mut Context) {
         let Some(slice) = self.slice.clone() else { return };
-        if ctx.now.since(self.work.needs_logged) < LOG_EVERY {
+        if ctx.now.since(self.search.backlog_logged_at) < LOG_INTERVAL {
             return;
         }
-        self.work.needs_logged = ctx.now;
-        let needs = self.needs(&slice, ctx.now);
+        self.search.backlog_logged_at = ctx.now;
+        let needs = self.backlog(&slice, ctx.now);
         let unloading = self.jobs.values().filter(|job| job.awaits_unload()).count();
-        let open = self.reports.keys().filter(|runner| self.flights.open(runner)).count();
-        let store = self.flights.pacer.left(&slice.config.store);
+        let open = self.reports.keys().filter(|runner| self.pending.is_blocked(runner)).count();
+        let store = self.pending.store_budget.left(&slice.config.store);
         let text = format!(
             "wanted={} missing={} missing_adapters={} undecided={} oldest_ms={} jobs={} unloading={unloading} \
              in_flight={} blocked_runners={open} store_left={store:.1} rounds={} weighed={} may_order={}",
@@ -47,24 +47,24 @@
             needs.undecided,
             needs.oldest.as_ms(),
             self.jobs.len(),
-            self.flights.rows.len(),
-            self.work.rounds,
-            self.work.weighed.get(),
+            self.pending.table.len(),
+            self.search.rounds,
+            self.search.evaluated.get(),
             self.may_order(ctx.now),
         );
         ctx.log_event("placement-needs", text);
     }
 
-    fn needs(&self, slice: &DutySlice, now: Time) -> Backlog {
+    fn backlog(&self, slice: &DutySlice, now: Time) -> Backlog {
         let held: BTreeSet<&Name> = self.reports.values().flat_map(|row| &row.1.holds).collect();
-        let coming = self.all_coming(slice);
-        let mut needs = Backlog { wanted: self.wants.len(), ..Backlog::default() };
-        for (name, want) in self.wants.iter().filter(|row| !held.contains(row.0)) {
+        let coming = self.names_being_loaded(slice);
+        let mut needs = Backlog { wanted: self.wanted_names.len(), ..Backlog::default() };
+        for (name, want) in self.wanted_names.iter().filter(|row| !held.contains(row.0)) {
             needs.missing += 1;
             needs.missing_adapters += usize::from(slice.config.adapter(name).is_some());
             if !coming.contains(name) {
                 needs.undecided += 1;
-                needs.oldest = needs.oldest.max(now.since(want.since));
+                needs.oldest = needs.oldest.max(now.since(want.wanted_since));
             }
         }
         needs
--- a/src/placement/component.rs
+++ b/src/placement/component.rs
@@ -17,64 +17,64 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
-use crate::rollout::router_reports::tells_all;
+use crate::rollout::router_reports::reports_to_all_controllers;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-pub const ORDER_FRESH: Span = Span::ms(1000);
-pub const QUIET: Span = Span::ms(4000);
-pub const REPORT: Span = Span::ms(2500);
+pub const ORDER_VALIDITY: Span = Span::ms(1000);
+pub const TAKEOVER_WAIT: Span = Span::ms(4000);
+pub const REPORT_FRESHNESS: Span = Span::ms(2500);
 
 pub struct Placement {
     pub reader: TopicReader,
     pub slice: Option<Arc<DutySlice>>,
     /// The places of the runners in the slice.
-    pub(super) places: BTreeMap<Name, usize>,
-    pub proven: Time,
+    pub(super) runner_index: BTreeMap<Name, usize>,
+    pub proven_at: Time,
     pub reports: BTreeMap<Name, (Time, RunnerReport)>,
-    pub tells: BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
+    pub router_reports: BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
     /// The sums over `tells`.
     pub usage: Arc<Usage>,
     /// How much was done to find decisions.
-    pub work: SearchState,
-    pub flights: PendingOrders,
+    pub search: SearchState,
+    pub pending: PendingOrders,
     /// Runners whose loads failed although they told of room.
-    pub distrust: LoadBackoff,
+    pub load_backoff: LoadBackoff,
     pub term: Term,
-    pub may_from: Time,
-    pub kept: BTreeMap<Name, BTreeSet<Name>>,
-    pub phases: BTreeMap<MoveId, (Phase, Time, u64)>,
-    pub sent: BTreeMap<MoveId, Time>,
-    pub planned: Time,
+    pub may_order_from: Time,
+    pub cached: BTreeMap<Name, BTreeSet<Name>>,
+    pub move_progress: BTreeMap<MoveId, (Phase, Time, u64)>,
+    pub move_sent_at: BTreeMap<MoveId, Time>,
+    pub plans_run_at: Time,
     /// When runners were last searched for withdrawn names.
-    pub retired: Time,
-    pub wanted: BTreeMap<Name, Time>,
-    pub wants: BTreeMap<Name, WantedName>,
-    pub used: BTreeMap<Name, Time>,
-    pub looks: Polls,
-    pub push: HoldingsPublisher,
+    pub withdrawn_searched_at: Time,
+    pub demanded_since: BTreeMap<Name, Time>,
+    pub wanted_names: BTreeMap<Name, WantedName>,
+    pub last_used_at: BTreeMap<Name, Time>,
+    pub polls: Polls,
+    pub publisher: HoldingsPublisher,
     pub jobs: BTreeMap<Name, DecisionJob>,
-    pub decided: VecDeque<PlacementPlan>,
+    pub recent_decisions: VecDeque<PlacementPlan>,
     /// Since when a runner holds a name that it was seen to get.
-    pub settled: BTreeMap<Name, BTreeMap<Name, Time>>,
+    pub resident_since: BTreeMap<Name, BTreeMap<Name, Time>>,
     pub policy: Policy,
-    pub rows: BTreeMap<PlanId, super::plan_execution::StageProgress>,
+    pub plan_progress: BTreeMap<PlanId, super::plan_execution::StageProgress>,
     pub claims: BTreeMap<Name, Time>,
-    pub unseen: BTreeMap<PlanId, (Time, Vec<PlanStep>)>,
-    pub cleared: Time,
-    pub refused_at: Time,
-    pub asked_plan: Option<(ChangeId, Time)>,
-    pub checked: Time,
+    pub submitted_plans: BTreeMap<PlanId, (Time, Vec<PlanStep>)>,
+    pub evacuation_planned_at: Time,
+    pub refusal_logged_at: Time,
+    pub answered_plan_request: Option<(ChangeId, Time)>,
+    pub holdings_checked_at: Time,
     /// When the reports were last searched for what routers miss.
-    pub(super) searched: Time,
-    pub asked: Time,
+    pub(super) holdings_searched_at: Time,
+    pub state_requested_at: Time,
     /// The list of runners that the head was last sent, and when.
-    pub(super) listed: (Vec<Runner>, Time),
-    pub named: Time,
+    pub(super) sent_runner_list: (Vec<Runner>, Time),
+    pub holder_named_at: Time,
     /// When the chain was last told that this holder orders.
-    pub begun_told: Time,
-    pub warned: bool,
-    pub bare_plain: bool,
+    pub begun_sent_at: Time,
+    pub is_stopping: bool,
+    pub has_unpolled_plain_runners: bool,
 }
 
 impl Placement {
@@ -84,87 +84,89 @@
         Placement {
             reader,
             slice: None,
-            places: BTreeMap::new(),
-            proven: Time(0),
+            runner_index: BTreeMap::new(),
+            proven_at: Time(0),
             reports: BTreeMap::new(),
-            tells: BTreeMap::new(),
+            router_reports: BTreeMap::new(),
             usage: Arc::default(),
-            work: SearchState::default(),
-            flights: PendingOrders::default(),
-            distrust: LoadBackoff::default(),
+            search: SearchState::default(),
+            pending: PendingOrders::default(),
+            load_backoff: LoadBackoff::default(),
             term: Term(0),
-            may_from: Time(u64::MAX),
-            kept: BTreeMap::new(),
-            phases: BTreeMap::new(),
-            sent: BTreeMap::new(),
-            planned: Time(0),
-            retired: Time(0),
-            wanted: BTreeMap::new(),
-            wants: BTreeMap::new(),
-            used: BTreeMap::new(),
-            looks: Polls::new(),
-            push: HoldingsPublisher::default(),
+            may_order_from: Time(u64::MAX),
+            cached: BTreeMap::new(),
+            move_progress: BTreeMap::new(),
+            move_sent_at: BTreeMap::new(),
+            plans_run_at: Time(0),
+            withdrawn_searched_at: Time(0),
+            demanded_since: BTreeMap::new(),
+            wanted_names: BTreeMap::new(),
+            last_used_at: BTreeMap::new(),
+            polls: Polls::new(),
+            publisher: HoldingsPublisher::default(),
             jobs: BTreeMap::new(),
-            decided: VecDeque::new(),
-            settled: BTreeMap::new(),
+            recent_decisions: VecDeque::new(),
+            resident_since: BTreeMap::new(),
             policy,
-            rows: BTreeMap::new(),
+            plan_progress: BTreeMap::new(),
             claims: BTreeMap::new(),
-            unseen: BTreeMap::new(),
-            cleared: Time(0),
-            refused_at: Time(0),
-            asked_plan: None,
-            checked: Time(0),
-            searched: Time(0),
-            asked: Time(0),
-            listed: (vec![], Time(0)),
-            named: Time(0),
-            begun_told: Time(0),
-            warned: false,
-            bare_plain: false,
+            submitted_plans: BTreeMap::new(),
+            evacuation_planned_at: Time(0),
+            refusal_logged_at: Time(0),
+            answered_plan_request: None,
+            holdings_checked_at: Time(0),
+            holdings_searched_at: Time(0),
+            state_requested_at: Time(0),
+            sent_runner_list: (vec![], Time(0)),
+            holder_named_at: Time(0),
+            begun_sent_at: Time(0),
+            is_stopping: false,
+            has_unpolled_plain_runners: false,
         }
     }
 
     pub fn may_order(&self, now: Time) -> bool {
-        !self.warned && self.flights.pacer.clock() >= self.may_from && now.since(self.proven) < ORDER_FRESH
+        !self.is_stopping
+            && self.pending.store_budget.clock() >= self.may_order_from
+            && now.since(self.proven_at) < ORDER_VALIDITY
     }
 
-    fn learn(&mut self, me: NodeId, slice: DutySlice) {
+    fn apply_state(&mut self, me: NodeId, slice: DutySlice) {
         let mine = slice.duty.as_ref().filter(|d| d.holder == me).map(|d| d.term);
         match mine {
             Some(term) if term != self.term => {
                 self.term = term;
-                let mut pacer = std::mem::take(&mut self.flights.pacer);
+                let mut store_budget = std::mem::take(&mut self.pending.store_budget);
                 let begun = slice.duty.as_ref().is_some_and(|duty| duty.begun);
-                self.may_from = pacer.clock() + if begun { Span(0) } else { QUIET };
-                pacer.follow(&slice.config.store, ORDER_FRESH);
-                self.flights = PendingOrders { pacer, ..PendingOrders::default() };
-                self.phases.clear();
-                self.rows.clear();
+                self.may_order_from = store_budget.clock() + if begun { Span(0) } else { TAKEOVER_WAIT };
+                store_budget.reset_for_successor(&slice.config.store, ORDER_VALIDITY);
+                self.pending = PendingOrders { store_budget, ..PendingOrders::default() };
+                self.move_progress.clear();
+                self.plan_progress.clear();
                 self.claims.clear();
-                self.unseen.clear();
-                self.afresh();
+                self.submitted_plans.clear();
+                self.reset_observations();
             }
             Some(_) => {}
             None => {
                 self.term = Term(0);
-                self.may_from = Time(u64::MAX);
-                self.afresh();
+                self.may_order_from = Time(u64::MAX);
+                self.reset_observations();
             }
         }
         let runners = slice.runners.iter().enumerate();
-        self.places = runners.map(|(place, runner)| (runner.instance.clone(), place)).collect();
-        self.reports.retain(|n, _| self.places.contains_key(n));
-        self.kept.retain(|n, _| self.places.contains_key(n));
+        self.runner_index = runners.map(|(index, runner)| (runner.instance.clone(), index)).collect();
+        self.reports.retain(|n, _| self.runner_index.contains_key(n));
+        self.cached.retain(|n, _| self.runner_index.contains_key(n));
         self.slice = Some(Arc::new(slice));
     }
 
-    fn afresh(&mut self) {
+    fn reset_observations(&mut self) {
         self.reports.clear();
-        self.looks.clear();
+        self.polls.clear();
         self.jobs.clear();
-        self.settled.clear();
-        self.push_anew();
+        self.resident_since.clear();
+        self.reset_publisher();
     }
 }
 
@@ -174,63 +176,63 @@
     }
 
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
-        self.flights.pacer.tick(ctx.now);
+        self.pending.store_budget.advance_clock(ctx.now);
         match ev {
             Event::DutyTick => {
-                self.ask(ctx);
-                self.name_holder(ctx);
-                self.look(ctx);
+                self.request_state(ctx);
+                self.appoint_holder(ctx);
+                self.poll_runners(ctx);
                 self.refresh_usage(ctx.now);
-                self.flights.arrive(ctx.now);
-                self.distrust.forget(ctx.now);
-                self.quick(ctx);
+                self.pending.finish_adapter_loads(ctx.now);
+                self.load_backoff.remove_expired(ctx.now);
+                self.run_decisions(ctx);
                 if self.may_order(ctx.now) {
-                    self.work(ctx);
+                    self.run_plans_and_moves(ctx);
                 }
-                self.push(ctx);
-                self.push_on(ctx);
+                self.push_changes(ctx);
+                self.continue_full_pushes(ctx);
                 if self.term > Term(0) {
-                    self.log_needs(ctx);
+                    self.log_backlog(ctx);
                 }
             }
             Event::Message { msg: Msg::UpdateReply { nonce, items }, .. } => {
                 for l in self.reader.handle_reply(*nonce, items) {
                     if let Some(Slice::Duty(s)) = l.slice {
                         let s = *s;
-                        let list = self.reporting(&s).cloned().collect();
-                        self.learn(ctx.me.node, s);
+                        let list = self.polled_runners(&s).cloned().collect();
+                        self.apply_state(ctx.me.node, s);
                         let mine = self.term > Term(0);
                         ctx.effects.push(Effect::PollRunners(if mine { list } else { vec![] }));
                         ctx.effects.push(Effect::HoldsDuty(mine));
-                        self.look(ctx);
+                        self.poll_runners(ctx);
                     }
-                    self.proven = self.proven.max(l.proven);
+                    self.proven_at = self.proven_at.max(l.proven);
                 }
             }
             Event::Message { from, msg: Msg::RouterReport(tell), .. }
-                if self.term > Term(0) || tells_all(ctx.views) =>
+                if self.term > Term(0) || reports_to_all_controllers(ctx.views) =>
             {
-                self.told(*from, tell, ctx.now);
+                self.record_router_report(*from, tell, ctx.now);
             }
             Event::Message { from, msg: Msg::UnmetDemand(rows), .. } if self.term > Term(0) => {
                 for want in rows {
-                    self.wanted(*from, want, ctx.now);
+                    self.record_want(*from, want, ctx.now);
                 }
                 self.react(ctx);
-                self.check_held(*from, rows, ctx);
+                self.recheck_holdings(*from, rows, ctx);
             }
-            Event::RunnersListed(listing) => self.listed(&listing.runners, ctx),
-            Event::Message { from, msg: Msg::HoldingsRequest, .. } => self.push_whole(*from, ctx),
+            Event::RunnersListed(listing) => self.record_runner_list(&listing.runners, ctx),
+            Event::Message { from, msg: Msg::HoldingsRequest, .. } => self.request_full_push(*from, ctx),
             Event::RunnerReport { instance, report } if self.term > Term(0) => {
                 if let Some(r) = report {
-                    self.work.stirred |= self.reports.get(instance).is_none_or(|old| old.1 != *r);
-                    self.reported(instance, r, ctx);
+                    self.search.has_news |= self.reports.get(instance).is_none_or(|old| old.1 != *r);
+                    self.record_runner_report(instance, r, ctx);
                 }
-                self.looked(instance, report.as_ref(), ctx);
-                self.push(ctx);
+                self.finish_poll(instance, report.as_ref(), ctx);
+                self.push_changes(ctx);
                 self.react(ctx);
             }
-            Event::OrderAnswered { order, status } => self.ordered(*order, *status, ctx),
+            Event::OrderAnswered { order, status } => self.record_order_answer(*order, *status, ctx),
             Event::StopAnnounced => self.hand_over(ctx),
             _ => {}
         }
@@ -240,11 +242,11 @@
         vec![
             ("term", self.term.to_string()),
             ("may_order", self.may_order(now).to_string()),
-            ("routers_heard", self.tells.len().to_string()),
-            ("rounds", self.work.rounds.to_string()),
-            ("weighed", self.work.weighed.get().to_string()),
-            ("in_flight", self.flights.rows.len().to_string()),
-            ("store_left", format!("{:.1}", self.flights.pacer.clone().left(&Default::default()))),
+            ("routers_heard", self.router_reports.len().to_string()),
+            ("rounds", self.search.rounds.to_string()),
+            ("weighed", self.search.evaluated.get().to_string()),
+            ("in_flight", self.pending.table.len().to_string()),
+            ("store_left", format!("{:.1}", self.pending.store_budget.clone().left(&Default::default()))),
         ]
     }
 }
--- a/src/placement/decision_plan.rs
+++ b/src/placement/decision_plan.rs
@@ -3,7 +3,7 @@
 use crate::kernel::ids::*;
 
 /// A small plan for one wanted name, as data.
-pub fn decision(
+pub fn decision_plan(
     id: PlanId,
     config_version: Version,
     want: &Name,
@@ -21,14 +21,16 @@
         tries: 0,
         spent: None,
     };
-    let mut stages =
-        vec![stage("make room", unloads.collect(), 100, 0), stage("load", vec![load], choice.ms, 1)];
+    let mut stages = vec![
+        stage("make room", unloads.collect(), 100, 0),
+        stage("load", vec![load], choice.estimated_ms, 1),
+    ];
     stages.retain(|s| !s.steps.is_empty());
     PlacementPlan {
         id,
         at: Version(0),
         config_version,
-        why: format!("{want} {why}; startup is estimated at {}ms", choice.ms),
+        why: format!("{want} {why}; startup is estimated at {}ms", choice.estimated_ms),
         state: PlanState::Running,
         stage: 0,
         stages,
--- a/src/placement/duty_assignment.rs
+++ b/src/placement/duty_assignment.rs
@@ -9,10 +9,10 @@
 use crate::msg::*;
 use std::sync::Arc;
 
-const ASK: Span = Span::ms(200);
-const ASK_SOON: Span = Span::ms(60);
+const REQUEST_INTERVAL: Span = Span::ms(200);
+const ACTIVE_REQUEST_INTERVAL: Span = Span::ms(60);
 /// How often the chain is told that this holder orders, until that is recorded.
-const RECORD_AGAIN: Span = Span::ms(600);
+const RESEND_DELAY: Span = Span::ms(600);
 
 /// Who of those that may holds the duty next. The ends of the chain have work enough: one of them only if no other may.
 fn successor(view: &View, may: &dyn Fn(NodeId) -> bool) -> Option<NodeId> {
@@ -22,9 +22,13 @@
 }
 
 impl Placement {
-    pub fn name_holder(&mut self, ctx: &mut Context) {
+    pub fn appoint_holder(&mut self, ctx: &mut Context) {
         let post = ctx.views.role;
-        if !post.is_head || !post.is_ready || post.copies < 2 || ctx.now.since(self.named) < Span::ms(1500) {
+        if !post.is_head
+            || !post.is_ready
+            || post.copies < 2
+            || ctx.now.since(self.holder_named_at) < Span::ms(1500)
+        {
             return;
         }
         let Some(view) = ctx.views.view.clone() else { return };
@@ -36,7 +40,7 @@
             return;
         }
         if let Some(next) = successor(&view, &live) {
-            self.named = ctx.now;
+            self.holder_named_at = ctx.now;
             ctx.log_event("duty-named", format!("{next} holds placement next"));
             ctx.publish(JournalEvent::Submitted(Arc::new(Change::Duty { holder: next })));
         }
@@ -47,15 +51,15 @@
     /// counts that orders name.
     pub fn record_begun(&mut self, s: &DutySlice, ctx: &mut Context) {
         let recorded = s.duty.as_ref().is_none_or(|duty| duty.term != self.term || duty.begun);
-        if recorded || ctx.now.since(self.begun_told) < RECORD_AGAIN {
+        if recorded || ctx.now.since(self.begun_sent_at) < RESEND_DELAY {
             return;
         }
-        self.begun_told = ctx.now;
-        self.tell_head(Change::DutyBegun { term: self.term }, ctx);
+        self.begun_sent_at = ctx.now;
+        self.submit_change(Change::DutyBegun { term: self.term }, ctx);
     }
 
     pub fn hand_over(&mut self, ctx: &mut Context) {
-        self.warned = true;
+        self.is_stopping = true;
         if self.term == Term(0) {
             return;
         }
@@ -63,17 +67,19 @@
         let is_other = |node: NodeId| node != ctx.me.node;
         if let Some(next) = successor(&view, &is_other) {
             ctx.log_event("duty-handed", format!("{next} is named successor"));
-            self.tell_head(Change::Duty { holder: next }, ctx);
+            self.submit_change(Change::Duty { holder: next }, ctx);
         }
     }
 
-    pub fn ask(&mut self, ctx: &mut Context) {
+    pub fn request_state(&mut self, ctx: &mut Context) {
         let lively = self.term != Term(0)
             && self.slice.as_ref().is_some_and(|s| s.plans.iter().any(|p| p.is_running()));
-        if ctx.now.since(self.asked) < if lively { ASK_SOON } else { ASK } {
+        if ctx.now.since(self.state_requested_at)
+            < if lively { ACTIVE_REQUEST_INTERVAL } else { REQUEST_INTERVAL }
+        {
             return;
         }
-        self.asked = ctx.now;
+        self.state_requested_at = ctx.now;
         let Some(tail) = ctx.views.view.as_ref().and_then(|v| v.tail()) else { return };
         let nonce = self.reader.start_request(ctx.now);
         let have = vec![(Scope::Duty, self.reader.known_version(&Scope::Duty))];
--- a/src/placement/estimates.rs
+++ b/src/placement/estimates.rs
@@ -13,16 +13,16 @@
 
 #[derive(Clone, PartialEq, Debug)]
 pub struct Estimate {
-    pub way: Remedy,
-    pub ms: u64,
+    pub remedy: Remedy,
+    pub estimated_ms: u64,
 }
 
-const ROUND_MS: u64 = 400;
+const HANDOVER_ROUND_MS: u64 = 400;
 const UNLOAD_MS: u64 = 200;
 
 pub fn estimates(
     c: &FleetConfig,
-    offers: &[RunnerState],
+    runners: &[RunnerState],
     f: &PendingOrders,
     want: &Name,
     now: Time,
@@ -32,9 +32,9 @@
     let mut rows = Vec::new();
     let Some(mb) = c.weight(want) else { return rows };
     let load = c.load_ms(want);
-    for o in offers.iter().filter(|o| !o.runner.leaving && !busy(&o.runner.instance)) {
+    for o in runners.iter().filter(|o| !o.runner.leaving && !busy(&o.runner.instance)) {
         let runner = o.runner.instance.clone();
-        if f.was_refused(now, &runner, want) || o.report.has(want) || f.has(&runner, want) {
+        if f.was_refused(now, &runner, want) || o.report.has(want) || f.contains(&runner, want) {
             continue;
         }
         let base = c.adapter(want).map(|a| a.model.clone());
@@ -42,35 +42,43 @@
             continue;
         }
         if fits(c, o, f, want) {
-            let crowd = f.busy(&runner) as u64 * 1000;
-            rows.push(Estimate { way: Remedy::Load { runner }, ms: load + crowd + o.report.running * 10 });
+            let crowd = f.count_at(&runner) as u64 * 1000;
+            rows.push(Estimate {
+                remedy: Remedy::Load { runner },
+                estimated_ms: load + crowd + o.report.running * 10,
+            });
             continue;
         }
         let idle: Vec<Name> =
             idle_names(c, o, wanted).into_iter().filter(|n| Some(n) != base.as_ref()).collect();
         let idle_mb: u64 = idle.iter().filter_map(|n| c.min_mb(n)).sum();
         if free_mb(c, o, f) + idle_mb >= mb {
-            let big =
-                idle.iter().rev().find(|n| !f.has(&runner, n) && is_adapter(c, n) == is_adapter(c, want));
-            if let Some(name) = big.or(idle.iter().rev().find(|n| !f.has(&runner, n))) {
+            let big = idle
+                .iter()
+                .rev()
+                .find(|n| !f.contains(&runner, n) && is_adapter(c, n) == is_adapter(c, want));
+            if let Some(name) = big.or(idle.iter().rev().find(|n| !f.contains(&runner, n))) {
                 let ms = load + UNLOAD_MS * idle.len() as u64;
-                rows.push(Estimate { way: Remedy::Unload { runner, name: name.clone() }, ms });
+                rows.push(Estimate {
+                    remedy: Remedy::Unload { runner, name: name.clone() },
+                    estimated_ms: ms,
+                });
             }
             continue;
         }
         if is_adapter(c, want) {
             continue;
         }
-        rows.extend(moves(c, offers, f, o, want, mb, load, wanted, busy));
+        rows.extend(move_estimates(c, runners, f, o, want, mb, load, wanted, busy));
     }
-    rows.sort_by_key(|e| e.ms);
+    rows.sort_by_key(|e| e.estimated_ms);
     rows
 }
 
 #[allow(clippy::too_many_arguments)]
-fn moves(
+fn move_estimates(
     c: &FleetConfig,
-    offers: &[RunnerState],
+    runners: &[RunnerState],
     f: &PendingOrders,
     o: &RunnerState,
     want: &Name,
@@ -86,7 +94,7 @@
         if runs == 0 || !frees {
             continue;
         }
-        for to in offers.iter().filter(|t| t.runner.instance != o.runner.instance) {
+        for to in runners.iter().filter(|t| t.runner.instance != o.runner.instance) {
             let dest = &to.runner.instance;
             if to.runner.leaving || busy(dest) || to.runner.service != o.runner.service {
                 continue;
@@ -95,7 +103,7 @@
             if slots < runs {
                 continue;
             }
-            let warm = ROUND_MS * 2 + runs * 50;
+            let warm = HANDOVER_ROUND_MS * 2 + runs * 50;
             let ms = if to.report.has(model) {
                 warm + UNLOAD_MS + load
             } else if fits(c, to, f, model) && !wanted(want) {
@@ -106,7 +114,7 @@
                 continue;
             };
             let (from, to) = (o.runner.instance.clone(), dest.clone());
-            rows.push(Estimate { way: Remedy::Move { from, to, model: model.clone() }, ms });
+            rows.push(Estimate { remedy: Remedy::Move { from, to, model: model.clone() }, estimated_ms: ms });
         }
     }
     rows
--- a/src/placement/free_room.rs
+++ b/src/placement/free_room.rs
@@ -5,22 +5,26 @@
 
 pub fn free_mb(c: &FleetConfig, o: &RunnerState, f: &PendingOrders) -> u64 {
     let r = &o.report;
-    (r.room_mb + freed_mb(c, r, f)).saturating_sub(r.used_mb).saturating_sub(f.pending_mb(r))
+    (r.room_mb + unloading_mb(c, r, f)).saturating_sub(r.used_mb).saturating_sub(f.pending_mb(r))
 }
 
-fn goes(c: &FleetConfig, r: &RunnerReport, f: &PendingOrders, name: &Name) -> bool {
-    f.given_up(r, name) || c.base_of(name).is_some_and(|model| f.given_up(r, model))
+fn is_being_unloaded(c: &FleetConfig, r: &RunnerReport, f: &PendingOrders, name: &Name) -> bool {
+    f.is_unloading(r, name) || c.base_of(name).is_some_and(|model| f.is_unloading(r, model))
 }
 
-fn freed_mb(c: &FleetConfig, r: &RunnerReport, f: &PendingOrders) -> u64 {
-    let gone = r.holds.iter().filter(|n| goes(c, r, f, n));
+fn unloading_mb(c: &FleetConfig, r: &RunnerReport, f: &PendingOrders) -> u64 {
+    let gone = r.holds.iter().filter(|n| is_being_unloaded(c, r, f, n));
     gone.filter_map(|n| c.min_mb(n)).sum()
 }
 
 pub fn adapters_free(c: &FleetConfig, o: &RunnerState, f: &PendingOrders) -> u64 {
     let r = &o.report;
-    let held =
-        r.holds.iter().chain(&r.loading).filter(|n| is_adapter(c, n) && !goes(c, r, f, n)).count() as u64;
+    let held = r
+        .holds
+        .iter()
+        .chain(&r.loading)
+        .filter(|n| is_adapter(c, n) && !is_being_unloaded(c, r, f, n))
+        .count() as u64;
     r.adapter_room.saturating_sub(held).saturating_sub(f.pending_adapters(r))
 }
 
@@ -33,7 +37,8 @@
         return true;
     }
     let base = c.adapter(name).map(|a| a.model.clone());
-    adapters_free(c, o, f) > 0 && base.is_some_and(|m| o.report.has(&m) && !goes(c, &o.report, f, &m))
+    adapters_free(c, o, f) > 0
+        && base.is_some_and(|m| o.report.has(&m) && !is_being_unloaded(c, &o.report, f, &m))
 }
 
 pub fn idle_names(c: &FleetConfig, o: &RunnerState, wanted: &dyn Fn(&Name) -> bool) -> Vec<Name> {
--- a/src/placement/job.rs
+++ b/src/placement/job.rs
@@ -1,7 +1,7 @@
 use super::component::Placement;
-use super::decision_plan::decision;
+use super::decision_plan::decision_plan;
 use super::pending_orders::is_adapter;
-use super::report_polling::NO_ROOM;
+use super::report_polling::CONFLICT;
 use super::runner_choice::Choice;
 use crate::fleet::plan::*;
 use crate::fleet::slice::DutySlice;
@@ -10,21 +10,21 @@
 use crate::kernel::time::{Span, Time};
 use std::collections::VecDeque;
 
-const ALLOWED: Span = Span::ms(5000);
-const AGAIN: Span = Span::ms(20);
-const TIRED: Span = Span::ms(80);
-const KEPT: usize = 64;
+const JOB_TIMEOUT: Span = Span::ms(5000);
+const RETRY_DELAY: Span = Span::ms(20);
+const GIVE_UP_DELAY: Span = Span::ms(80);
+const DECISIONS_KEPT: usize = 64;
 
 /// A decision under way at one runner.
 pub struct DecisionJob {
     id: PlanId,
     want: Name,
     steps: VecDeque<(bool, Name)>,
-    order: Option<OrderId>,
-    behind: bool,
-    since: Time,
-    next: Time,
-    gap: Span,
+    pending_order: Option<OrderId>,
+    follows_unload: bool,
+    started_at: Time,
+    next_attempt_at: Time,
+    retry_delay: Span,
 }
 
 impl DecisionJob {
@@ -32,7 +32,7 @@
         self.steps.iter().map(|s| &s.1)
     }
 
-    pub fn wants(&self, name: &Name) -> bool {
+    pub fn loads(&self, name: &Name) -> bool {
         self.want == *name
     }
 
@@ -43,30 +43,30 @@
 
     /// Whether something has yet to give way.
     pub fn awaits_unload(&self) -> bool {
-        self.behind || self.steps.front().is_some_and(|step| !step.0)
+        self.follows_unload || self.steps.front().is_some_and(|step| !step.0)
     }
 
     /// Whether the load is yet to be ordered.
     pub fn awaits_load(&self) -> bool {
-        let ordered = self.order.is_some() && self.steps.front().is_some_and(|step| step.0);
+        let ordered = self.pending_order.is_some() && self.steps.front().is_some_and(|step| step.0);
         !self.steps.is_empty() && !ordered
     }
 }
 
 impl Placement {
     /// Takes up a decision. The routers are to be told of what gives way before its first order goes out.
-    pub fn begin(&mut self, want: &Name, choice: Choice, why: &str, ctx: &mut Context) {
+    pub fn start_job(&mut self, want: &Name, choice: Choice, why: &str, ctx: &mut Context) {
         let id = PlanId(ctx.rand.next() | 1);
         let at = self.slice.as_ref().map_or(Version(0), |s| s.config_version);
-        let plan = decision(id, at, want, &choice, why);
+        let plan = decision_plan(id, at, want, &choice, why);
         let gone = choice.unloads.iter().map(|n| n.to_string()).collect::<Vec<_>>().join(",");
         ctx.log_event("plan-small", format!("{id} {} on {} instead of [{gone}]", plan.why, choice.runner));
-        self.decided.push_back(plan);
-        if self.decided.len() > KEPT {
-            self.decided.pop_front();
+        self.recent_decisions.push_back(plan);
+        if self.recent_decisions.len() > DECISIONS_KEPT {
+            self.recent_decisions.pop_front();
         }
         for n in &choice.unloads {
-            self.close_to(&choice.runner, n, true);
+            self.set_closing(&choice.runner, n, true);
         }
         let mut steps: VecDeque<_> = choice.unloads.into_iter().map(|n| (false, n)).collect();
         steps.push_back((true, want.clone()));
@@ -74,11 +74,11 @@
             id,
             want: want.clone(),
             steps,
-            order: None,
-            behind: false,
-            since: ctx.now,
-            next: ctx.now,
-            gap: AGAIN,
+            pending_order: None,
+            follows_unload: false,
+            started_at: ctx.now,
+            next_attempt_at: ctx.now,
+            retry_delay: RETRY_DELAY,
         };
         self.jobs.insert(choice.runner, job);
     }
@@ -86,20 +86,20 @@
     /// Orders what the decisions under way need next, the oldest first: they share the store's allowance.
     pub fn run_jobs(&mut self, s: &DutySlice, ctx: &mut Context) {
         let due = self.jobs.iter().filter(|(runner, job)| self.is_due(runner, job, ctx.now));
-        let mut runners: Vec<(Time, Name)> = due.map(|(r, job)| (job.since, r.clone())).collect();
+        let mut runners: Vec<(Time, Name)> = due.map(|(r, job)| (job.started_at, r.clone())).collect();
         runners.sort();
-        let mut store_left = self.flights.loads_left(&s.config.store);
+        let mut store_left = self.pending.loads_left(&s.config.store);
         for (_, r) in runners {
             let Some(mut job) = self.jobs.remove(&r) else { continue };
-            if store_left == 0 && self.awaits_store(&r, &job, s, ctx.now) {
-                job.next = ctx.now + AGAIN;
+            if store_left == 0 && self.is_waiting_for_store(&r, &job, s, ctx.now) {
+                job.next_attempt_at = ctx.now + RETRY_DELAY;
                 self.jobs.insert(r, job);
                 continue;
             }
             let end = match self.run_job(&r, job, s, ctx) {
                 Ok(job) => {
-                    if job.order.is_some() {
-                        store_left = self.flights.loads_left(&s.config.store);
+                    if job.pending_order.is_some() {
+                        store_left = self.pending.loads_left(&s.config.store);
                     }
                     self.jobs.insert(r, job);
                     continue;
@@ -107,28 +107,29 @@
                 Err(end) => end,
             };
             let (id, to, why) = end;
-            if let Some(p) = self.decided.iter_mut().find(|p| p.id == id) {
+            if let Some(p) = self.recent_decisions.iter_mut().find(|p| p.id == id) {
                 p.state = to;
             }
             if to == PlanState::Stopped {
                 ctx.log_event("plan-stopped", format!("{id} at {r}: {why}"));
-                self.push.closing.remove(&r);
+                self.publisher.closing.remove(&r);
             }
         }
     }
 
     /// Whether all that is left to do is a load from the store, and there is time for it.
-    fn awaits_store(&self, runner: &Name, job: &DecisionJob, s: &DutySlice, now: Time) -> bool {
+    fn is_waiting_for_store(&self, runner: &Name, job: &DecisionJob, s: &DutySlice, now: Time) -> bool {
         let Some((true, name)) = job.steps.front() else { return false };
-        let goes_on = self.stays(runner) && now.since(job.since) <= ALLOWED;
+        let goes_on = self.is_staying(runner) && now.since(job.started_at) <= JOB_TIMEOUT;
         let held = self.reports.get(runner).is_some_and(|row| row.1.has(name));
-        goes_on && !held && self.asks_store(s, runner, name)
+        goes_on && !held && self.uses_store(s, runner, name)
     }
 
     /// Whether a decision has something to do: its next order, or its end.
     fn is_due(&self, runner: &Name, job: &DecisionJob, now: Time) -> bool {
-        let waits = job.order.is_some_and(|order| self.flights.rows.contains_key(&order)) || now < job.next;
-        !waits || now.since(job.since) > ALLOWED || !self.stays(runner)
+        let waits = job.pending_order.is_some_and(|order| self.pending.table.contains_key(&order))
+            || now < job.next_attempt_at;
+        !waits || now.since(job.started_at) > JOB_TIMEOUT || !self.is_staying(runner)
     }
 
     fn run_job(
@@ -139,16 +140,20 @@
         ctx: &mut Context,
     ) -> Result<DecisionJob, (PlanId, PlanState, &'static str)> {
         let id = job.id;
-        if ctx.now.since(job.since) > ALLOWED {
+        if ctx.now.since(job.started_at) > JOB_TIMEOUT {
             return Err((id, PlanState::Stopped, "its time was spent"));
         }
-        if !self.stays(runner) {
+        if !self.is_staying(runner) {
             return Err((id, PlanState::Stopped, "the runner left"));
         }
-        if job.order.is_some_and(|o| self.flights.rows.contains_key(&o)) || ctx.now < job.next {
+        if job.pending_order.is_some_and(|o| self.pending.table.contains_key(&o))
+            || ctx.now < job.next_attempt_at
+        {
             return Ok(job);
         }
-        let Some(report) = self.reports.get(runner).map(|r| self.known(s, &r.1)) else { return Ok(job) };
+        let Some(report) = self.reports.get(runner).map(|r| self.completed_report(s, &r.1)) else {
+            return Ok(job);
+        };
         while let Some((false, name)) = job.steps.front().cloned()
             && !report.has(&name)
         {
@@ -163,63 +168,63 @@
         if !load && report.runs_of(&name) > 0 && !report.runs.is_empty() && !is_adapter(&s.config, &name) {
             let own = self.reports.get(runner).is_some_and(|r| r.1.runs_of(&name) > 0);
             if own {
-                self.look_at(runner, ctx.now + Span::ms(100));
+                self.poll_by(runner, ctx.now + Span::ms(100));
                 return Ok(job);
             }
         }
-        job.order = self.send_order(runner, &name, load, job.behind, ctx);
-        if job.order.is_none() {
-            job.next = ctx.now + AGAIN;
+        job.pending_order = self.send_order(runner, &name, load, job.follows_unload, ctx);
+        if job.pending_order.is_none() {
+            job.next_attempt_at = ctx.now + RETRY_DELAY;
         }
         Ok(job)
     }
 
     /// An answer to an order of a job: the next step, the same again, or the end.
-    pub fn job_answered(&mut self, order: OrderId, status: u16, ctx: &mut Context) {
-        let Some((runner, mut job)) = self.job_of(order) else { return };
+    pub fn record_job_answer(&mut self, order: OrderId, status: u16, ctx: &mut Context) {
+        let Some((runner, mut job)) = self.take_job(order) else { return };
         let Some((load, name)) = job.steps.front().cloned() else { return };
-        job.order = None;
+        job.pending_order = None;
         match status {
             200..=299 => {
                 job.steps.pop_front();
-                job.behind |= !load;
-                (job.next, job.gap) = (ctx.now, AGAIN);
+                job.follows_unload |= !load;
+                (job.next_attempt_at, job.retry_delay) = (ctx.now, RETRY_DELAY);
                 if load {
-                    if let Some(p) = self.decided.iter_mut().find(|p| p.id == job.id) {
+                    if let Some(p) = self.recent_decisions.iter_mut().find(|p| p.id == job.id) {
                         p.state = PlanState::Done;
                     }
-                    self.push.closing.remove(&runner);
+                    self.publisher.closing.remove(&runner);
                     return;
                 }
             }
-            NO_ROOM if !job.behind && load && self.distrust.is_paused(&runner, ctx.now) => {
+            CONFLICT if !job.follows_unload && load && self.load_backoff.is_paused(&runner, ctx.now) => {
                 ctx.log_event("plan-stopped", format!("{} at {runner}: refused again", job.id));
-                self.push.closing.remove(&runner);
+                self.publisher.closing.remove(&runner);
                 return;
             }
-            NO_ROOM if !job.behind && job.gap >= TIRED => {
+            CONFLICT if !job.follows_unload && job.retry_delay >= GIVE_UP_DELAY => {
                 if load {
-                    self.load_failed(&runner, "it refused a load again and again", ctx);
+                    self.record_load_failure(&runner, "it refused a load again and again", ctx);
                 }
                 ctx.log_event("plan-stopped", format!("{} at {runner}: refused again and again", job.id));
-                self.push.closing.remove(&runner);
+                self.publisher.closing.remove(&runner);
                 return;
             }
-            NO_ROOM | 499 => {
-                if let Some(names) = self.flights.refused.get_mut(&runner) {
+            CONFLICT | 499 => {
+                if let Some(names) = self.pending.refused_at.get_mut(&runner) {
                     names.remove(&name);
                 }
-                job.next = ctx.now + job.gap;
-                job.gap = Span((job.gap.0 * 2).min(Span::ms(160).0));
-                self.look_at(&runner, ctx.now);
+                job.next_attempt_at = ctx.now + job.retry_delay;
+                job.retry_delay = Span((job.retry_delay.0 * 2).min(Span::ms(160).0));
+                self.poll_by(&runner, ctx.now);
             }
             0 => {
-                job.order = Some(order);
-                self.look_at(&runner, ctx.now + Span::ms(50));
+                job.pending_order = Some(order);
+                self.poll_by(&runner, ctx.now + Span::ms(50));
             }
             _ => {
                 ctx.log_event("plan-stopped", format!("{} at {runner}: answered {status}", job.id));
-                self.push.closing.remove(&runner);
+                self.publisher.closing.remove(&runner);
                 return;
             }
         }
@@ -227,12 +232,12 @@
     }
 
     /// Whether an order belongs to a decision under way.
-    pub fn is_job(&self, order: OrderId) -> bool {
-        self.jobs.values().any(|job| job.order == Some(order))
+    pub fn belongs_to_job(&self, order: OrderId) -> bool {
+        self.jobs.values().any(|job| job.pending_order == Some(order))
     }
 
-    fn job_of(&mut self, order: OrderId) -> Option<(Name, DecisionJob)> {
-        let runner = self.jobs.iter().find(|j| j.1.order == Some(order))?.0.clone();
+    fn take_job(&mut self, order: OrderId) -> Option<(Name, DecisionJob)> {
+        let runner = self.jobs.iter().find(|j| j.1.pending_order == Some(order))?.0.clone();
         self.jobs.remove_entry(&runner)
     }
 }
--- a/src/placement/load_backoff.rs
+++ b/src/placement/load_backoff.rs
@@ -22,50 +22,50 @@
 /// The failures of one runner.
 #[derive(Clone, Copy, Debug)]
 struct Failures {
-    last: Time,
+    last_at: Time,
     pause: Span,
 }
 
 /// What the holder of the placement duty has learned of runners whose loads fail.
 #[derive(Clone, Default, Debug)]
 pub struct LoadBackoff {
-    rows: BTreeMap<Name, Failures>,
+    failures: BTreeMap<Name, Failures>,
 }
 
 impl LoadBackoff {
     /// A load at `runner` was refused for want of room or never appeared in its reports.
-    pub fn failed(&mut self, runner: &Name, now: Time) {
-        let pause = match self.rows.get(runner) {
-            Some(row) if now.since(row.last) < row.pause => return,
+    pub fn record_failure(&mut self, runner: &Name, now: Time) {
+        let pause = match self.failures.get(runner) {
+            Some(row) if now.since(row.last_at) < row.pause => return,
             Some(row) => Span((row.pause.0 * 2).min(LONGEST_PAUSE.0)),
             None => FIRST_PAUSE,
         };
-        self.rows.insert(runner.clone(), Failures { last: now, pause });
+        self.failures.insert(runner.clone(), Failures { last_at: now, pause });
     }
 
     /// Drops failures that are too old to count.
-    pub fn forget(&mut self, now: Time) {
-        self.rows.retain(|_, row| now.since(row.last) < FORGOTTEN_AFTER);
+    pub fn remove_expired(&mut self, now: Time) {
+        self.failures.retain(|_, row| now.since(row.last_at) < FORGOTTEN_AFTER);
     }
 
     /// Whether no load may be sent to `runner` now.
     pub fn is_paused(&self, runner: &Name, now: Time) -> bool {
-        self.rows.get(runner).is_some_and(|row| now.since(row.last) < row.pause)
+        self.failures.get(runner).is_some_and(|row| now.since(row.last_at) < row.pause)
     }
 
     /// Whether the room that `runner` tells of has turned out wrong.
-    pub fn is_doubted(&self, runner: &Name) -> bool {
-        self.rows.contains_key(runner)
+    pub fn has_failures(&self, runner: &Name) -> bool {
+        self.failures.contains_key(runner)
     }
 
     /// The runners that may be sent no load now.
     pub fn paused(&self, now: Time) -> impl Iterator<Item = &Name> {
-        self.rows.keys().filter(move |runner| self.is_paused(runner, now))
+        self.failures.keys().filter(move |runner| self.is_paused(runner, now))
     }
 
     /// The report with its use of memory taken from the configured weights, if its runner is doubted.
     pub fn corrected(&self, config: &FleetConfig, mut report: RunnerReport) -> RunnerReport {
-        if self.is_doubted(&report.instance) {
+        if self.has_failures(&report.instance) {
             report.used_mb = report.used_mb.max(most_used(config, &report));
         }
         report
--- a/src/placement/move_check.rs
+++ b/src/placement/move_check.rs
@@ -1,7 +1,7 @@
 use crate::fleet::state::*;
 use crate::kernel::fault::{Fault, Kind};
 
-pub fn check(m: &MovePlan, state: &FleetState) -> Result<(), Fault> {
+pub fn check_move(m: &MovePlan, state: &FleetState) -> Result<(), Fault> {
     let bad = |place: &str, what: String, remedy: &str| Err(Fault::new(Kind::Usage, place, what, remedy));
     let Some(s) = state.config.service(&m.service) else {
         return bad(
--- a/src/placement/move_planning.rs
+++ b/src/placement/move_planning.rs
@@ -1,10 +1,10 @@
 //! Moves for what is wanted and fits nowhere.
 
-use super::decision_state::DecisionState;
 use super::component::Placement;
-use super::pending_orders::RunnerState;
+use super::decision_state::DecisionState;
 use super::estimates::{Estimate, Remedy, estimates};
-use super::plan_building::small;
+use super::pending_orders::RunnerState;
+use super::plan_building::single_name_plan;
 use super::plan_rehearsal::rehearse;
 use crate::daemon::assemble::Policy;
 use crate::fleet::slice::DutySlice;
@@ -12,37 +12,37 @@
 use crate::kernel::ids::*;
 
 /// So many names are weighed at a time, those that most requests wait for first: each is weighed at every runner.
-const NAMES_WEIGHED: usize = 8;
+const NAMES_EVALUATED: usize = 8;
 
 impl Placement {
     /// Plans moves, or unloads by the policy, for what is wanted and no load could help.
-    pub fn meet_demand(
+    pub fn plan_moves(
         &mut self,
-        offers: &[RunnerState],
+        runners: &[RunnerState],
         hot: &[Name],
         s: &DutySlice,
         demand: &[(Name, Name, u64)],
         ctx: &mut Context,
     ) {
-        let mut left = demand.iter().take(NAMES_WEIGHED);
+        let mut left = demand.iter().take(NAMES_EVALUATED);
         loop {
-            let board = self.board(s, offers, ctx.now);
+            let state = self.decision_state(s, runners, ctx.now);
             let unmet = left.find_map(|(service, want, _)| {
-                let way = self.meet(&board, service, want, hot, s, ctx)?;
+                let way = self.choose_move(&state, service, want, hot, s, ctx)?;
                 Some((service, want, way))
             });
             let Some((service, want, way)) = unmet else { return };
             match way {
-                Some(best) => self.submit_small(service, want, &best, s, demand, ctx),
-                None => self.preempt(s, offers, service, want, hot, ctx),
+                Some(best) => self.submit_move_plan(service, want, &best, s, demand, ctx),
+                None => self.preempt(s, runners, service, want, hot, ctx),
             }
         }
     }
 
     /// What is to be done for a wanted name that no load could help: a move, or `Some(None)` to preempt.
-    fn meet(
+    fn choose_move(
         &self,
-        board: &DecisionState,
+        state: &DecisionState,
         service: &Name,
         want: &Name,
         hot: &[Name],
@@ -50,39 +50,43 @@
         ctx: &Context,
     ) -> Option<Option<Estimate>> {
         let free = |o: &&RunnerState| o.report.running + o.report.waiting < o.report.slots;
-        let mine = || board.offers().iter().filter(|o| o.runner.service == *service);
+        let mine = || state.runners().iter().filter(|o| o.runner.service == *service);
         let served = || mine().filter(free).any(|o| o.report.has(want) && !o.runner.leaving);
         let plain = s.config.weight(want).is_none();
-        if plain || self.claimed(want, ctx.now) || board.is_held(want) && served() || board.is_coming(want) {
+        if plain
+            || self.is_claimed(want, ctx.now)
+            || state.is_held(want) && served()
+            || state.is_being_loaded(want)
+        {
             return None;
         }
-        let waited = self.wanted.get(want).map_or(0, |t| ctx.now.since(*t).as_ms());
+        let waited = self.demanded_since.get(want).map_or(0, |t| ctx.now.since(*t).as_ms());
         let may_move = self.policy == Policy::Move
             && s.config.adapter(want).is_none()
             && waited >= s.config.load_ms(want);
         if !may_move {
-            let preempts = self.policy == Policy::Preempt && board.choose(service, want, true).is_none();
+            let preempts = self.policy == Policy::Preempt && state.choose(service, want, true).is_none();
             return preempts.then_some(None);
         }
-        if board.choose(service, want, true).is_some() {
+        if state.choose(service, want, true).is_some() {
             return None;
         }
-        let offers: Vec<RunnerState> = mine().cloned().collect();
+        let runners: Vec<RunnerState> = mine().cloned().collect();
         let wanted = |n: &Name| hot.contains(n);
-        let busy = |n: &Name| board.is_planned(n);
-        let rows = estimates(&s.config, &offers, board.flights(), want, ctx.now, &wanted, &busy);
-        let credit = self.credit(service, ctx);
+        let busy = |n: &Name| state.is_reserved(n);
+        let rows = estimates(&s.config, &runners, state.pending(), want, ctx.now, &wanted, &busy);
+        let credit = self.retry_credit(service, ctx);
         let runs = |from: &Name, model: &Name| {
-            offers.iter().find(|o| o.runner.instance == *from).map_or(0, |o| o.report.runs_of(model))
+            runners.iter().find(|o| o.runner.instance == *from).map_or(0, |o| o.report.runs_of(model))
         };
-        let able = |e: &&Estimate| match &e.way {
-            Remedy::Move { from, model, .. } => credit >= 2 * runs(from, model) && waited >= e.ms,
+        let able = |e: &&Estimate| match &e.remedy {
+            Remedy::Move { from, model, .. } => credit >= 2 * runs(from, model) && waited >= e.estimated_ms,
             _ => false,
         };
         rows.iter().find(able).cloned().map(Some)
     }
 
-    fn submit_small(
+    fn submit_move_plan(
         &mut self,
         service: &Name,
         want: &Name,
@@ -92,10 +96,10 @@
         ctx: &mut Context,
     ) {
         let id = PlanId(ctx.rand.next() | 1);
-        let counted = self.counted(s, ctx.now);
-        let p = self.picture(s, demand, &counted, ctx);
-        let plan = small(&p, id, want, &best.way, service, best.ms);
+        let counted = self.orders_with_planned(s, ctx.now);
+        let p = self.plan_input(s, demand, &counted, ctx);
+        let plan = single_name_plan(&p, id, want, &best.remedy, service, best.estimated_ms);
         let tried = rehearse(&p, &plan);
-        self.submit(plan, tried, s, ctx, Some(want));
+        self.submit_plan(plan, tried, s, ctx, Some(want));
     }
 }
--- a/src/placement/order_sending.rs
+++ b/src/placement/order_sending.rs
@@ -1,4 +1,4 @@
-use super::component::{ORDER_FRESH, Placement};
+use super::component::{ORDER_VALIDITY, Placement};
 use super::free_room::fits;
 use super::job::DecisionJob;
 use super::load_backoff::most_used;
@@ -11,10 +11,10 @@
 use crate::msg::*;
 use std::collections::BTreeSet;
 
-const TINY: Span = Span::ms(5);
+const LOAD_MARGIN: Span = Span::ms(5);
 
 impl Placement {
-    pub fn order(&mut self, runner: &Name, name: &Name, load: bool, ctx: &mut Context) -> bool {
+    pub fn try_order(&mut self, runner: &Name, name: &Name, load: bool, ctx: &mut Context) -> bool {
         self.send_order(runner, name, load, false, ctx).is_some()
     }
 
@@ -29,26 +29,27 @@
     ) -> Option<OrderId> {
         let s = self.slice.as_ref()?;
         let r = self.runner(s, runner).cloned()?;
-        if self.flights.has(runner, name) || !self.may_order(ctx.now) || self.flights.open(runner) {
+        if self.pending.contains(runner, name) || !self.may_order(ctx.now) || self.pending.is_blocked(runner)
+        {
             return None;
         }
-        let report = self.reports.get(runner).map(|r| self.known(s, &r.1))?;
-        if self.flights.is_foreign(&report) {
+        let report = self.reports.get(runner).map(|r| self.completed_report(s, &r.1))?;
+        if self.pending.has_foreign_order(&report) {
             return None;
         }
-        let expected = self.flights.sequences.expected(runner)?;
-        let offer = RunnerState { runner: r, report };
-        if load && self.distrust.is_paused(runner, ctx.now) {
+        let expected = self.pending.order_counts.expected(runner)?;
+        let runner_state = RunnerState { runner: r, report };
+        if load && self.load_backoff.is_paused(runner, ctx.now) {
             return None;
         }
-        if load && !fits(&s.config, &offer, &self.flights, name) {
+        if load && !fits(&s.config, &runner_state, &self.pending, name) {
             return None;
         }
         let adapter = is_adapter(&s.config, name);
         let rule = &s.config.store;
-        let kept = self.is_kept(s, runner, name);
-        let counted = load && self.asks_store(s, runner, name);
-        if counted && self.flights.loads_left(rule) == 0 {
+        let kept = self.is_cached(s, runner, name);
+        let counted = load && self.uses_store(s, runner, name);
+        if counted && self.pending.loads_left(rule) == 0 {
             return None;
         }
         let order = OrderId(ctx.rand.next() | 1);
@@ -56,29 +57,29 @@
         let flight = PendingOrder {
             runner: runner.clone(),
             name: name.clone(),
-            load,
-            since: ctx.now,
-            mb: s.config.weight(name).unwrap_or(0),
-            adapter,
-            answered: false,
-            counted,
-            behind,
-            takes: if load { Span::ms(ms) + TINY } else { Span::ms(30) },
-            end: Time(u64::MAX),
-            there: false,
-            begun: false,
+            is_load: load,
+            sent_at: ctx.now,
+            weight_mb: s.config.weight(name).unwrap_or(0),
+            is_adapter: adapter,
+            is_accepted: false,
+            uses_store: counted,
+            follows_unload: behind,
+            expected_duration: if load { Span::ms(ms) + LOAD_MARGIN } else { Span::ms(30) },
+            expected_end_at: Time(u64::MAX),
+            is_finished: false,
+            is_carried_out: false,
             expected,
-            overdue: false,
+            is_overdue: false,
         };
-        let due = self.proven + ORDER_FRESH;
+        let due = self.proven_at + ORDER_VALIDITY;
         if counted {
-            self.flights.pacer.took(order, due.since(ctx.now));
+            self.pending.store_budget.reserve(order, due.since(ctx.now));
         }
-        self.flights.rows.insert(order, flight);
+        self.pending.table.insert(order, flight);
         let term = self.term;
         let what = if load { "load" } else { "unload" };
         ctx.log_event("runner-order", format!("{what} {name} on {runner} under {term}"));
-        let (name, runner) = (name.clone(), offer.runner);
+        let (name, runner) = (name.clone(), runner_state.runner);
         ctx.effects.push(Effect::OrderRunner(RunnerOrder {
             order,
             term,
@@ -93,32 +94,32 @@
     }
 
     /// Whether a load of `name` at this runner takes of the store's allowance.
-    pub fn asks_store(&self, s: &DutySlice, runner: &Name, name: &Name) -> bool {
-        !self.is_kept(s, runner, name) && (!is_adapter(&s.config, name) || s.config.store.adapters)
+    pub fn uses_store(&self, s: &DutySlice, runner: &Name, name: &Name) -> bool {
+        !self.is_cached(s, runner, name) && (!is_adapter(&s.config, name) || s.config.store.adapters)
     }
 
     /// How many loads from the store a new decision could order now: those that decisions under way have yet to order
     /// go first.
     pub fn store_loads_left(&mut self, s: &DutySlice) -> u64 {
         let waits =
-            |row: &(&Name, &DecisionJob)| row.1.awaits_load() && self.asks_store(s, row.0, row.1.want());
+            |row: &(&Name, &DecisionJob)| row.1.awaits_load() && self.uses_store(s, row.0, row.1.want());
         let before = self.jobs.iter().filter(waits).count() as u64;
-        self.flights.loads_left(&s.config.store).saturating_sub(before)
+        self.pending.loads_left(&s.config.store).saturating_sub(before)
     }
 
     /// What a runner loads from its own disk.
-    pub fn kept_at(&self, s: &DutySlice, runner: &Name) -> Option<&BTreeSet<Name>> {
-        self.kept.get(runner).filter(|_| s.config.store.kept_ms > 0)
+    pub fn cached_at(&self, s: &DutySlice, runner: &Name) -> Option<&BTreeSet<Name>> {
+        self.cached.get(runner).filter(|_| s.config.store.kept_ms > 0)
     }
 
     /// Whether a runner loads `name` from its own disk.
-    pub fn is_kept(&self, s: &DutySlice, runner: &Name, name: &Name) -> bool {
-        self.kept_at(s, runner).is_some_and(|kept| kept.contains(name))
+    pub fn is_cached(&self, s: &DutySlice, runner: &Name, name: &Name) -> bool {
+        self.cached_at(s, runner).is_some_and(|kept| kept.contains(name))
     }
 
     /// A report with what it leaves out taken from the configuration and from the routers.
-    pub fn known(&self, s: &DutySlice, r: &RunnerReport) -> RunnerReport {
-        let mut r = self.distrust.corrected(&s.config, r.clone());
+    pub fn completed_report(&self, s: &DutySlice, r: &RunnerReport) -> RunnerReport {
+        let mut r = self.load_backoff.corrected(&s.config, r.clone());
         let service = self.runner(s, &r.instance).map(|x| &x.service);
         let Some(service) = service.and_then(|n| s.config.service(n)) else { return r };
         if r.room_mb == 0 {
@@ -132,7 +133,7 @@
             r.slots = service.slots;
         }
         if r.runs.is_empty() && r.running > 0 {
-            r.runs = self.usage.running.get(&r.instance).cloned().unwrap_or_default();
+            r.runs = self.usage.active_by_runner.get(&r.instance).cloned().unwrap_or_default();
         }
         r
     }
--- a/src/placement/order_table.rs
+++ b/src/placement/order_table.rs
@@ -8,7 +8,7 @@
 /// The orders under way.
 #[derive(Clone, Default)]
 pub struct OrderTable {
-    rows: BTreeMap<OrderId, PendingOrder>,
+    orders: BTreeMap<OrderId, PendingOrder>,
     by_runner: BTreeMap<Name, Vec<OrderId>>,
     loads_by_name: BTreeMap<Name, Vec<OrderId>>,
 }
@@ -18,17 +18,17 @@
     pub fn insert(&mut self, order: OrderId, flight: PendingOrder) {
         self.remove(order);
         self.by_runner.entry(flight.runner.clone()).or_default().push(order);
-        if flight.load {
+        if flight.is_load {
             self.loads_by_name.entry(flight.name.clone()).or_default().push(order);
         }
-        self.rows.insert(order, flight);
+        self.orders.insert(order, flight);
     }
 
     /// Takes an order out.
     pub fn remove(&mut self, order: OrderId) -> Option<PendingOrder> {
-        let flight = self.rows.remove(&order)?;
+        let flight = self.orders.remove(&order)?;
         forget(&mut self.by_runner, &flight.runner, order);
-        if flight.load {
+        if flight.is_load {
             forget(&mut self.loads_by_name, &flight.name, order);
         }
         Some(flight)
@@ -37,7 +37,7 @@
     /// Keeps those orders at a runner for which `keeps` says so; it may change them.
     pub fn retain_at(&mut self, runner: &Name, mut keeps: impl FnMut(&mut PendingOrder) -> bool) {
         for order in self.by_runner.get(runner).cloned().unwrap_or_default() {
-            if self.rows.get_mut(&order).is_some_and(|flight| !keeps(flight)) {
+            if self.orders.get_mut(&order).is_some_and(|flight| !keeps(flight)) {
                 self.remove(order);
             }
         }
@@ -45,51 +45,51 @@
 
     /// The order with this id.
     pub fn get(&self, order: &OrderId) -> Option<&PendingOrder> {
-        self.rows.get(order)
+        self.orders.get(order)
     }
 
     /// The order with this id, to be changed; its runner, its name and what it does stay as they are.
     pub fn get_mut(&mut self, order: &OrderId) -> Option<&mut PendingOrder> {
-        self.rows.get_mut(order)
+        self.orders.get_mut(order)
     }
 
     /// Whether the order is under way.
     pub fn contains_key(&self, order: &OrderId) -> bool {
-        self.rows.contains_key(order)
+        self.orders.contains_key(order)
     }
 
     /// Whether no order is under way.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.orders.is_empty()
     }
 
     /// How many orders are under way.
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.orders.len()
     }
 
     /// All orders.
     pub fn values(&self) -> impl Iterator<Item = &PendingOrder> {
-        self.rows.values()
+        self.orders.values()
     }
 
     /// All orders, to be changed as by [`FlightTable::get_mut`].
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut PendingOrder> {
-        self.rows.values_mut()
+        self.orders.values_mut()
     }
 
     /// The orders at a runner.
-    pub fn at(&self, runner: &Name) -> impl Iterator<Item = &PendingOrder> {
-        self.rows_of(self.by_runner.get(runner))
+    pub fn at_runner(&self, runner: &Name) -> impl Iterator<Item = &PendingOrder> {
+        self.orders_of(self.by_runner.get(runner))
     }
 
     /// The loads of a name.
     pub fn loads_of(&self, name: &Name) -> impl Iterator<Item = &PendingOrder> {
-        self.rows_of(self.loads_by_name.get(name))
+        self.orders_of(self.loads_by_name.get(name))
     }
 
-    fn rows_of<'a>(&'a self, orders: Option<&'a Vec<OrderId>>) -> impl Iterator<Item = &'a PendingOrder> {
-        orders.into_iter().flatten().filter_map(|order| self.rows.get(order))
+    fn orders_of<'a>(&'a self, orders: Option<&'a Vec<OrderId>>) -> impl Iterator<Item = &'a PendingOrder> {
+        orders.into_iter().flatten().filter_map(|order| self.orders.get(order))
     }
 }
 
--- a/src/placement/placement_client.rs
+++ b/src/placement/placement_client.rs
@@ -5,40 +5,40 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
-use crate::rollout::router_reports::{is_small, router_count, tells_all};
+use crate::rollout::router_reports::{is_small_fleet, reports_to_all_controllers, router_count};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const GATHER: Span = Span::ms(20);
-const HEARD: Span = Span::ms(1500);
-const ASK: Span = Span::ms(300);
-const ASK_IN_LARGE_FLEET: Span = Span::ms(1000);
+const RESEND_INTERVAL: Span = Span::ms(20);
+const HOLDER_TIMEOUT: Span = Span::ms(1500);
+const REQUEST_INTERVAL: Span = Span::ms(300);
+const REQUEST_INTERVAL_IN_LARGE_FLEET: Span = Span::ms(1000);
 /// How long wants are gathered in a large fleet: this long for each router.
-const GATHER_PER_ROUTER: Span = Span(600);
+const GATHER_INTERVAL_PER_ROUTER: Span = Span(600);
 /// How long wants are kept for a holder that is not known.
-const WANTS_KEPT: Span = Span::ms(4000);
+const WANT_LIFETIME: Span = Span::ms(4000);
 
 /// Who holds the placement duty, by what it sends.
 #[derive(Clone, Copy, Default)]
 pub struct DutyHolderContact {
     node: Option<NodeId>,
     term: Term,
-    heard: Time,
+    heard_at: Time,
 }
 
 impl DutyHolderContact {
     /// A holder sent holdings under `term`; whether that term is still the newest.
-    pub fn heard(&mut self, from: NodeId, term: Term, now: Time) -> bool {
+    pub fn record_message(&mut self, from: NodeId, term: Term, now: Time) -> bool {
         if term < self.term {
             return false;
         }
-        *self = DutyHolderContact { node: Some(from), term, heard: now };
+        *self = DutyHolderContact { node: Some(from), term, heard_at: now };
         true
     }
 
     /// The holder, if it was heard lately.
     pub fn holder(&self, now: Time) -> Option<NodeId> {
-        self.node.filter(|_| now.since(self.heard) < HEARD)
+        self.node.filter(|_| now.since(self.heard_at) < HOLDER_TIMEOUT)
     }
 }
 
@@ -47,73 +47,76 @@
 pub struct PlacementClient {
     contact: DutyHolderContact,
     seq: u64,
-    asked: Time,
-    behind: bool,
-    wants: BTreeMap<Name, UnmetDemand>,
-    sent: BTreeMap<Name, Time>,
+    holdings_requested_at: Time,
+    needs_full: bool,
+    unsent_wants: BTreeMap<Name, UnmetDemand>,
+    sent_at: BTreeMap<Name, Time>,
     /// When wants were last sent, or dropped.
-    flushed: Time,
+    flushed_at: Time,
     /// Which controller is asked next while the holder is not known.
-    turn: usize,
+    next_controller: usize,
 }
 
 impl PlacementClient {
-    fn holders(&self, ctx: &Context) -> Vec<NodeId> {
+    fn want_receivers(&self, ctx: &Context) -> Vec<NodeId> {
         match self.contact.holder(ctx.now) {
             Some(n) => vec![n],
-            None if tells_all(ctx.views) => ctx.views.controllers().map(|r| r.who.node).collect(),
+            None if reports_to_all_controllers(ctx.views) => {
+                ctx.views.controllers().map(|r| r.who.node).collect()
+            }
             None => vec![],
         }
     }
 
     /// Whom to ask for the holdings: the holder, or while it is not known all controllers of a small fleet, one after
     /// another those of a large one.
-    fn asked_for_holdings(&mut self, ctx: &Context) -> Vec<NodeId> {
-        let known = self.holders(ctx);
+    fn holdings_sources(&mut self, ctx: &Context) -> Vec<NodeId> {
+        let known = self.want_receivers(ctx);
         if !known.is_empty() {
             return known;
         }
         let controllers: Vec<NodeId> = ctx.views.controllers().map(|row| row.who.node).collect();
-        self.turn = self.turn.wrapping_add(1);
-        let next = self.turn.checked_rem(controllers.len());
-        next.map(|place| controllers[place]).into_iter().collect()
+        self.next_controller = self.next_controller.wrapping_add(1);
+        let next = self.next_controller.checked_rem(controllers.len());
+        next.map(|index| controllers[index]).into_iter().collect()
     }
 
     /// How long wants are gathered, so that all routers together send no more than those of a small fleet.
-    fn gather(ctx: &Context) -> Span {
+    fn gather_interval(ctx: &Context) -> Span {
         match router_count(ctx.views) {
-            few if is_small(few) => Span(0),
-            many => Span(GATHER_PER_ROUTER.0 * many as u64),
+            few if is_small_fleet(few) => Span(0),
+            many => Span(GATHER_INTERVAL_PER_ROUTER.0 * many as u64),
         }
     }
 
     fn add(&mut self, want: &UnmetDemand) {
-        let row = self.wants.entry(want.name.clone()).or_insert(UnmetDemand { count: 0, ..want.clone() });
+        let row =
+            self.unsent_wants.entry(want.name.clone()).or_insert(UnmetDemand { count: 0, ..want.clone() });
         row.count += want.count;
         row.class = row.class.min(want.class);
     }
 
     fn flush(&mut self, ctx: &mut Context) {
-        let waited = ctx.now.since(self.flushed);
-        let holders = self.holders(ctx);
-        if holders.is_empty() && waited >= WANTS_KEPT {
-            self.flushed = ctx.now;
-            return self.wants.clear();
+        let waited = ctx.now.since(self.flushed_at);
+        let holders = self.want_receivers(ctx);
+        if holders.is_empty() && waited >= WANT_LIFETIME {
+            self.flushed_at = ctx.now;
+            return self.unsent_wants.clear();
         }
-        if holders.is_empty() || waited < Self::gather(ctx) {
+        if holders.is_empty() || waited < Self::gather_interval(ctx) {
             return;
         }
-        self.sent.retain(|_, t| ctx.now.since(*t) < GATHER);
-        let held = |n: &Name| self.sent.contains_key(n);
-        let rows: Vec<UnmetDemand> = self.wants.values().filter(|w| !held(&w.name)).cloned().collect();
+        self.sent_at.retain(|_, t| ctx.now.since(*t) < RESEND_INTERVAL);
+        let held = |n: &Name| self.sent_at.contains_key(n);
+        let rows: Vec<UnmetDemand> = self.unsent_wants.values().filter(|w| !held(&w.name)).cloned().collect();
         if rows.is_empty() {
             return;
         }
         for w in &rows {
-            self.wants.remove(&w.name);
-            self.sent.insert(w.name.clone(), ctx.now);
+            self.unsent_wants.remove(&w.name);
+            self.sent_at.insert(w.name.clone(), ctx.now);
         }
-        self.flushed = ctx.now;
+        self.flushed_at = ctx.now;
         for to in holders {
             ctx.send(to, Msg::UnmetDemand(rows.clone()));
         }
@@ -132,19 +135,19 @@
         }
     }
 
-    fn told(&mut self, tell: &HoldingsUpdate, ctx: &mut Context) {
+    fn record_holdings(&mut self, tell: &HoldingsUpdate, ctx: &mut Context) {
         let newer = tell.term > self.contact.term;
         if tell.term < self.contact.term || (!newer && tell.seq < self.seq) {
             return;
         }
         if newer {
-            (self.seq, self.behind) = (tell.seq, true);
+            (self.seq, self.needs_full) = (tell.seq, true);
         }
-        self.contact.heard(tell.holder, tell.term, ctx.now);
+        self.contact.record_message(tell.holder, tell.term, ctx.now);
         if tell.whole {
-            self.behind = false;
+            self.needs_full = false;
         } else if tell.seq > self.seq + 1 {
-            self.behind = true;
+            self.needs_full = true;
         }
         let old = !tell.whole && !newer && tell.seq == self.seq;
         self.seq = tell.seq;
@@ -156,10 +159,14 @@
     fn tick(&mut self, ctx: &mut Context) {
         self.flush(ctx);
         let quiet = self.contact.holder(ctx.now).is_none();
-        let gap = if tells_all(ctx.views) { ASK } else { ASK_IN_LARGE_FLEET };
-        if (self.behind || quiet) && ctx.now.since(self.asked) >= gap {
-            self.asked = ctx.now;
-            for to in self.asked_for_holdings(ctx) {
+        let gap = if reports_to_all_controllers(ctx.views) {
+            REQUEST_INTERVAL
+        } else {
+            REQUEST_INTERVAL_IN_LARGE_FLEET
+        };
+        if (self.needs_full || quiet) && ctx.now.since(self.holdings_requested_at) >= gap {
+            self.holdings_requested_at = ctx.now;
+            for to in self.holdings_sources(ctx) {
                 ctx.send(to, Msg::HoldingsRequest);
             }
         }
@@ -181,7 +188,7 @@
                 if tell.relay {
                     Self::relay(tell, ctx);
                 }
-                self.told(tell, ctx);
+                self.record_holdings(tell, ctx);
                 self.tick(ctx);
             }
             Event::Tick => self.tick(ctx),
@@ -193,7 +200,7 @@
         vec![
             ("term", self.contact.term.to_string()),
             ("seq", self.seq.to_string()),
-            ("heard_ms_ago", now.since(self.contact.heard).as_ms().to_string()),
+            ("heard_ms_ago", now.since(self.contact.heard_at).as_ms().to_string()),
         ]
     }
 }
--- a/src/placement/plan_building.rs
+++ b/src/placement/plan_building.rs
@@ -8,35 +8,46 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-pub fn small(p: &PlanInput, id: PlanId, want: &Name, way: &Remedy, service: &Name, ms: u64) -> PlacementPlan {
+pub fn single_name_plan(
+    p: &PlanInput,
+    id: PlanId,
+    want: &Name,
+    way: &Remedy,
+    service: &Name,
+    ms: u64,
+) -> PlacementPlan {
     let why = format!("{want} is wanted; startup is estimated at {ms}ms");
-    let load =
-        |runner: &Name| p.stage("load", vec![PlanStep::Load { runner: runner.clone(), name: want.clone() }]);
+    let load = |runner: &Name| {
+        p.build_stage("load", vec![PlanStep::Load { runner: runner.clone(), name: want.clone() }])
+    };
     let stages = match way {
         Remedy::Load { runner } => vec![load(runner)],
         Remedy::Unload { runner, .. } => {
-            let steps = room_for(p, runner, want);
-            vec![p.stage("make room", steps), load(runner)]
+            let steps = unloads_for(p, runner, want);
+            vec![p.build_stage("make room", steps), load(runner)]
         }
         Remedy::Move { from, to, model } => {
             let (id, service) = (MoveId(id.0), service.clone());
             let (model, from, to) = (model.clone(), from.clone(), to.clone());
-            vec![p.stage("move", vec![PlanStep::Move { id, service, model, from, to, want: want.clone() }])]
+            vec![p.build_stage(
+                "move",
+                vec![PlanStep::Move { id, service, model, from, to, want: want.clone() }],
+            )]
         }
     };
-    p.plan(id, why, stages)
+    p.build_plan(id, why, stages)
 }
 
-fn room_for(p: &PlanInput, runner: &Name, want: &Name) -> Vec<PlanStep> {
-    let Some(o) = p.offers.iter().find(|o| o.runner.instance == *runner) else { return vec![] };
+fn unloads_for(p: &PlanInput, runner: &Name, want: &Name) -> Vec<PlanStep> {
+    let Some(o) = p.runners.iter().find(|o| o.runner.instance == *runner) else { return vec![] };
     let wanted = |n: &Name| p.demand_of(n) > 0;
     let base = p.config.adapter(want).map(|a| a.model.clone());
     let mut idle = idle_names(p.config, o, &wanted);
-    idle.retain(|n| Some(n) != base.as_ref() && !p.flights.has(runner, n));
+    idle.retain(|n| Some(n) != base.as_ref() && !p.pending.contains(runner, n));
     let tuned = is_adapter(p.config, want);
     idle.sort_by_key(|n| (is_adapter(p.config, n) != tuned, std::cmp::Reverse(p.config.weight(n))));
-    let (mut free, need) = (free_mb(p.config, o, p.flights), p.config.weight(want).unwrap_or(0));
-    let mut slot = !tuned || super::free_room::adapters_free(p.config, o, p.flights) > 0;
+    let (mut free, need) = (free_mb(p.config, o, p.pending), p.config.weight(want).unwrap_or(0));
+    let mut slot = !tuned || super::free_room::adapters_free(p.config, o, p.pending) > 0;
     let mut steps = Vec::new();
     for name in idle {
         if free >= need && slot {
@@ -50,9 +61,9 @@
 }
 
 /// A plan for all names, of up to `most` loads; how many rooms were weighed is added to `weighed`.
-pub fn whole(p: &PlanInput, id: PlanId, why: &str, most: usize, weighed: &Cell<u64>) -> PlacementPlan {
+pub fn full_plan(p: &PlanInput, id: PlanId, why: &str, most: usize, weighed: &Cell<u64>) -> PlacementPlan {
     let mut layout = Layout::of(p);
-    let evacuate = leave(p, &mut layout, id);
+    let evacuate = evacuation_moves(p, &mut layout, id);
     let mut unplaced = Vec::new();
     for s in &p.config.services {
         let mut names: Vec<&Name> = s.models.iter().collect();
@@ -63,15 +74,15 @@
             }
         }
     }
-    weighed.set(weighed.get() + layout.weighed());
+    weighed.set(weighed.get() + layout.evaluated());
     let rooms = layout.rooms();
     let unloads = rooms.iter().flat_map(|room| steps(room, &room.unload, false)).collect::<Vec<_>>();
     let mut stages = Vec::new();
     if !evacuate.is_empty() {
-        stages.push(p.stage("make way", evacuate));
+        stages.push(p.build_stage("make way", evacuate));
     }
     if !unloads.is_empty() {
-        stages.push(p.stage("make room", unloads));
+        stages.push(p.build_stage("make room", unloads));
     }
     let mut left = most;
     for n in 0.. {
@@ -82,9 +93,9 @@
             break;
         }
         left -= row.len();
-        stages.push(p.stage(&format!("load {}", n + 1), row));
+        stages.push(p.build_stage(&format!("load {}", n + 1), row));
     }
-    let mut plan = p.plan(id, why.to_string(), stages);
+    let mut plan = p.build_plan(id, why.to_string(), stages);
     plan.unplaced = unplaced;
     plan
 }
@@ -97,18 +108,18 @@
     names.iter().map(one).collect()
 }
 
-fn leave(p: &PlanInput, layout: &mut Layout, id: PlanId) -> Vec<PlanStep> {
+fn evacuation_moves(p: &PlanInput, layout: &mut Layout, id: PlanId) -> Vec<PlanStep> {
     let mut out = Vec::new();
     let mut taken: BTreeMap<&Name, u64> = BTreeMap::new();
-    for o in p.offers.iter().filter(|o| o.runner.leaving && !p.busy.contains(&o.runner.instance)) {
+    for o in p.runners.iter().filter(|o| o.runner.leaving && !p.busy_runners.contains(&o.runner.instance)) {
         for (model, runs) in &o.report.runs {
             let free = |t: &&super::pending_orders::RunnerState| {
                 let used = taken.get(&t.runner.instance).copied().unwrap_or(0);
                 t.report.slots.saturating_sub(t.report.running + used) > 0
-                    && !p.busy.contains(&t.runner.instance)
+                    && !p.busy_runners.contains(&t.runner.instance)
             };
             let mates =
-                || p.offers.iter().filter(|t| !t.runner.leaving && t.runner.service == o.runner.service);
+                || p.runners.iter().filter(|t| !t.runner.leaving && t.runner.service == o.runner.service);
             let held = mates().filter(free).filter(|t| t.report.has(model)).min_by_key(|t| t.report.running);
             let mb = p.config.weight(model).unwrap_or(u64::MAX);
             let roomy = |t: &&super::pending_orders::RunnerState| layout.has_free(&t.runner.instance, mb);
--- a/src/placement/plan_execution.rs
+++ b/src/placement/plan_execution.rs
@@ -1,4 +1,4 @@
-use super::component::{Placement, REPORT};
+use super::component::{Placement, REPORT_FRESHNESS};
 use crate::fleet::config::Allowance;
 use crate::fleet::plan::*;
 use crate::fleet::runner::RunnerReport;
@@ -8,24 +8,24 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 
-const AGAIN: Span = Span::ms(600);
+const RESEND_DELAY: Span = Span::ms(600);
 
 pub struct StageProgress {
     stage: u64,
-    since: Time,
+    started_at: Time,
     tries: u64,
-    told: Time,
+    reported_at: Time,
 }
 
-enum StepState {
+enum StepStatus {
     Done,
-    Open,
-    Lost(String),
+    Pending,
+    Failed(String),
 }
 
 impl Placement {
     pub fn run_plans(&mut self, s: &DutySlice, ctx: &mut Context) {
-        self.rows.retain(|id, _| s.plans.iter().any(|p| p.id == *id && p.is_running()));
+        self.plan_progress.retain(|id, _| s.plans.iter().any(|p| p.id == *id && p.is_running()));
         for p in s.plans.iter().filter(|p| p.is_running()) {
             self.run_plan(p, s, ctx);
         }
@@ -33,35 +33,35 @@
 
     fn run_plan(&mut self, p: &PlacementPlan, s: &DutySlice, ctx: &mut Context) {
         let Some(stage) = p.current_stage() else { return };
-        let new = StageProgress { stage: p.stage, since: ctx.now, tries: 0, told: Time(0) };
-        let row = self.rows.entry(p.id).or_insert(new);
+        let new = StageProgress { stage: p.stage, started_at: ctx.now, tries: 0, reported_at: Time(0) };
+        let row = self.plan_progress.entry(p.id).or_insert(new);
         if row.stage != p.stage {
-            *row = StageProgress { stage: p.stage, since: ctx.now, tries: 0, told: Time(0) };
+            *row = StageProgress { stage: p.stage, started_at: ctx.now, tries: 0, reported_at: Time(0) };
         }
-        if ctx.now.since(row.told) < AGAIN && row.told != Time(0) {
+        if ctx.now.since(row.reported_at) < RESEND_DELAY && row.reported_at != Time(0) {
             return;
         }
-        let (ms, tries) = (ctx.now.since(row.since).as_ms(), row.tries);
+        let (ms, tries) = (ctx.now.since(row.started_at).as_ms(), row.tries);
         let rule = &s.config.placement.stage;
         let most = Allowance { ms: stage.ms + rule.ms, tries: rule.tries * stage.steps.len() as u64 };
         let mut open = 0;
         for step in &stage.steps {
             match self.run_step(p, step, s, ctx) {
-                StepState::Done => {}
-                StepState::Open => open += 1,
-                StepState::Lost(why) => {
-                    return self.close(p, PlanState::Stopped, &why, (ms, tries, most), ctx);
+                StepStatus::Done => {}
+                StepStatus::Pending => open += 1,
+                StepStatus::Failed(why) => {
+                    return self.finish_stage(p, PlanState::Stopped, &why, (ms, tries, most), ctx);
                 }
             }
         }
         if open == 0 {
-            return self.close(p, PlanState::Running, "kept", (ms, tries, most), ctx);
+            return self.finish_stage(p, PlanState::Running, "kept", (ms, tries, most), ctx);
         }
         if ms > most.ms || tries > most.tries {
             let why = format!(
                 "{open} step(s) left when the allowance was spent; what runs is untouched, propose again or raise placement.stage"
             );
-            self.close(p, PlanState::Stopped, &why, (ms, tries, most), ctx);
+            self.finish_stage(p, PlanState::Stopped, &why, (ms, tries, most), ctx);
         }
     }
 
@@ -71,37 +71,41 @@
         step: &PlanStep,
         s: &DutySlice,
         ctx: &mut Context,
-    ) -> StepState {
+    ) -> StepStatus {
         match step {
             PlanStep::Load { runner, name } => {
-                let Some(r) = self.heard(runner, ctx.now) else { return self.absent(runner, s) };
+                let Some(r) = self.fresh_report(runner, ctx.now) else {
+                    return self.missing_runner(runner, s);
+                };
                 if r.has(name) {
-                    return StepState::Done;
+                    return StepStatus::Done;
                 }
-                if self.fits_at(runner, name, s, ctx.now) && self.order(runner, name, true, ctx) {
-                    self.tried(p);
+                if self.fits_at(runner, name, s, ctx.now) && self.try_order(runner, name, true, ctx) {
+                    self.count_try(p);
                 }
-                StepState::Open
+                StepStatus::Pending
             }
             PlanStep::Unload { runner, name } => {
-                let Some(r) = self.heard(runner, ctx.now) else { return self.absent(runner, s) };
+                let Some(r) = self.fresh_report(runner, ctx.now) else {
+                    return self.missing_runner(runner, s);
+                };
                 if !r.has(name) {
-                    return StepState::Done;
+                    return StepStatus::Done;
                 }
                 if r.runs_of(name) > 0 {
-                    return StepState::Lost(format!("streams of {name} began on {runner}; it keeps them"));
+                    return StepStatus::Failed(format!("streams of {name} began on {runner}; it keeps them"));
                 }
-                if self.order(runner, name, false, ctx) {
-                    self.tried(p);
+                if self.try_order(runner, name, false, ctx) {
+                    self.count_try(p);
                 }
-                StepState::Open
+                StepStatus::Pending
             }
             PlanStep::Move { id, service, model, from, to, want } => {
                 if let Some(m) = s.moves.iter().find(|m| m.id == *id) {
                     return match m.phase {
-                        Phase::Done => StepState::Done,
-                        Phase::Stopped => StepState::Lost(format!("{step}: {}", m.why)),
-                        _ => StepState::Open,
+                        Phase::Done => StepStatus::Done,
+                        Phase::Stopped => StepStatus::Failed(format!("{step}: {}", m.why)),
+                        _ => StepStatus::Pending,
                     };
                 }
                 let plan = MovePlan {
@@ -116,40 +120,40 @@
                     stages: vec![],
                 };
                 if s.moves.iter().any(|m| m.is_active() && m.conflicts_with(&plan)) {
-                    return StepState::Open;
+                    return StepStatus::Pending;
                 }
-                let sent = self.sent.get(id).is_some_and(|t| ctx.now.since(*t) < AGAIN);
+                let sent = self.move_sent_at.get(id).is_some_and(|t| ctx.now.since(*t) < RESEND_DELAY);
                 if !sent {
-                    self.sent.insert(*id, ctx.now);
+                    self.move_sent_at.insert(*id, ctx.now);
                     ctx.log_event("move-planned", format!("{id} {} {}>{}", plan.model, plan.from, plan.to));
                     let id = ChangeId::random(ctx.rand);
-                    self.tell_head(Change::Move { id, plan }, ctx);
-                    self.tried(p);
+                    self.submit_change(Change::Move { id, plan }, ctx);
+                    self.count_try(p);
                 }
-                StepState::Open
+                StepStatus::Pending
             }
         }
     }
 
-    fn tried(&mut self, p: &PlacementPlan) {
-        if let Some(row) = self.rows.get_mut(&p.id) {
+    fn count_try(&mut self, p: &PlacementPlan) {
+        if let Some(row) = self.plan_progress.get_mut(&p.id) {
             row.tries += 1;
         }
     }
 
-    fn heard(&self, runner: &Name, now: Time) -> Option<RunnerReport> {
-        let row = self.reports.get(runner).filter(|r| now.since(r.0) < REPORT)?;
+    fn fresh_report(&self, runner: &Name, now: Time) -> Option<RunnerReport> {
+        let row = self.reports.get(runner).filter(|r| now.since(r.0) < REPORT_FRESHNESS)?;
         Some(row.1.clone())
     }
 
-    fn absent(&self, runner: &Name, s: &DutySlice) -> StepState {
+    fn missing_runner(&self, runner: &Name, s: &DutySlice) -> StepStatus {
         if s.runners.iter().any(|r| r.instance == *runner) {
-            return StepState::Open;
+            return StepStatus::Pending;
         }
-        StepState::Lost(format!("{runner} is no longer listed; propose again"))
+        StepStatus::Failed(format!("{runner} is no longer listed; propose again"))
     }
 
-    fn close(
+    fn finish_stage(
         &mut self,
         p: &PlacementPlan,
         to: PlanState,
@@ -157,8 +161,8 @@
         (ms, tries, most): (u64, u64, Allowance),
         ctx: &mut Context,
     ) {
-        if let Some(row) = self.rows.get_mut(&p.id) {
-            row.told = ctx.now;
+        if let Some(row) = self.plan_progress.get_mut(&p.id) {
+            row.reported_at = ctx.now;
         }
         let name = p.current_stage().map_or(String::new(), |s| s.name.clone());
         let figure = StageFigure {
@@ -171,6 +175,6 @@
         };
         ctx.log_event("plan-stage", format!("{} {} {to} after {ms}ms {note}", p.at, figure.name));
         let change = Change::PlanStage { id: p.id, term: self.term, state: to, figure };
-        self.tell_head(change, ctx);
+        self.submit_change(change, ctx);
     }
 }
--- a/src/placement/plan_input.rs
+++ b/src/placement/plan_input.rs
@@ -8,12 +8,12 @@
 pub struct PlanInput<'a> {
     pub config: &'a FleetConfig,
     pub config_version: Version,
-    pub offers: Vec<RunnerState>,
-    pub flights: &'a PendingOrders,
+    pub runners: Vec<RunnerState>,
+    pub pending: &'a PendingOrders,
     pub now: Time,
     pub demand: BTreeMap<Name, u64>,
-    pub credit: BTreeMap<Name, u64>,
-    pub busy: Vec<Name>,
+    pub retry_credit: BTreeMap<Name, u64>,
+    pub busy_runners: Vec<Name>,
 }
 
 pub const UNLOAD_MS: u64 = 400;
@@ -25,15 +25,15 @@
     }
 
     pub fn holders<'b>(&'b self, name: &'b Name) -> impl Iterator<Item = &'b RunnerState> {
-        self.offers.iter().filter(|o| o.report.has(name) && !o.runner.leaving)
+        self.runners.iter().filter(|o| o.report.has(name) && !o.runner.leaving)
     }
 
-    pub fn store_ms(&self, loads: u64) -> u64 {
-        let spare = self.flights.pacer.clone().left(&self.config.store).max(0.0) as u64;
+    pub fn store_wait_ms(&self, loads: u64) -> u64 {
+        let spare = self.pending.store_budget.clone().left(&self.config.store).max(0.0) as u64;
         loads.saturating_sub(spare) * 60_000 / self.config.store.loads_per_minute.max(1)
     }
 
-    pub fn stage(&self, name: &str, steps: Vec<PlanStep>) -> PlanStage {
+    pub fn build_stage(&self, name: &str, steps: Vec<PlanStep>) -> PlanStage {
         let (mut ms, mut loads, mut tries) = (0, 0, 0);
         for s in &steps {
             match s {
@@ -43,7 +43,7 @@
                 }
                 PlanStep::Unload { .. } => ms = ms.max(UNLOAD_MS),
                 PlanStep::Move { model, from, to, want, .. } => {
-                    let find = |n: &Name| self.offers.iter().find(|o| o.runner.instance == *n);
+                    let find = |n: &Name| self.runners.iter().find(|o| o.runner.instance == *n);
                     let runs = find(from).map_or(0, |o| o.report.runs_of(model));
                     let there = find(to).is_some_and(|o| o.report.has(model));
                     let load = if there { 0 } else { self.config.load_ms(model) };
@@ -53,12 +53,12 @@
                 }
             }
         }
-        PlanStage { name: name.into(), steps, ms: ms + self.store_ms(loads), loads, tries, spent: None }
+        PlanStage { name: name.into(), steps, ms: ms + self.store_wait_ms(loads), loads, tries, spent: None }
     }
 
-    pub fn plan(&self, id: PlanId, why: String, stages: Vec<PlanStage>) -> PlacementPlan {
+    pub fn build_plan(&self, id: PlanId, why: String, stages: Vec<PlanStage>) -> PlacementPlan {
         let mut holds: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
-        for o in &self.offers {
+        for o in &self.runners {
             holds.insert(o.runner.instance.clone(), o.report.holds.clone());
         }
         let mut put = |runner: &Name, name: &Name, on: bool| {
--- a/src/placement/plan_rehearsal.rs
+++ b/src/placement/plan_rehearsal.rs
@@ -11,10 +11,10 @@
 pub fn rehearse(p: &PlanInput, plan: &PlacementPlan) -> PlanRehearsal {
     let mut faults = Vec::new();
     let mut used: BTreeMap<&Name, (u64, u64)> = BTreeMap::new();
-    for o in &p.offers {
+    for o in &p.runners {
         used.insert(
             &o.runner.instance,
-            (o.report.used_mb + p.flights.pending_mb(&o.report), o.report.room_mb),
+            (o.report.used_mb + p.pending.pending_mb(&o.report), o.report.room_mb),
         );
     }
     let mut most_tries: BTreeMap<&Name, u64> = BTreeMap::new();
@@ -22,7 +22,7 @@
         for s in &stage.steps {
             let mut put = |runner: &Name, name: &Name, on: bool| {
                 let mb = if on { p.config.weight(name) } else { p.config.min_mb(name) }.unwrap_or(0);
-                let Some(row) = p.offers.iter().find(|o| o.runner.instance == *runner) else {
+                let Some(row) = p.runners.iter().find(|o| o.runner.instance == *runner) else {
                     faults.push(format!("stage {n}: {runner} does not report; bring it back or drop it"));
                     return;
                 };
@@ -43,13 +43,13 @@
                 PlanStep::Load { runner, name } => put(runner, name, true),
                 PlanStep::Unload { runner, name } => {
                     put(runner, name, false);
-                    let o = p.offers.iter().find(|o| o.runner.instance == *runner);
+                    let o = p.runners.iter().find(|o| o.runner.instance == *runner);
                     if o.is_some_and(|o| o.report.runs_of(name) > 0) {
                         faults.push(format!("stage {n}: streams of {name} run on {runner}; move them first"));
                     }
                 }
                 PlanStep::Move { service, model, from, to, want, .. } => {
-                    let there = p.offers.iter().any(|o| o.runner.instance == *to && o.report.has(model));
+                    let there = p.runners.iter().any(|o| o.runner.instance == *to && o.report.has(model));
                     if !there {
                         put(to, model, true);
                     }
@@ -57,7 +57,7 @@
                     if !want.0.is_empty() {
                         put(from, want, true);
                     }
-                    let runs = p.offers.iter().find(|o| o.runner.instance == *from);
+                    let runs = p.runners.iter().find(|o| o.runner.instance == *from);
                     *most_tries.entry(service).or_default() +=
                         runs.map_or(0, |o| o.report.runs_of(model)) * 2;
                 }
@@ -65,8 +65,8 @@
         }
     }
     for (service, need) in &most_tries {
-        let have = p.credit.get(*service).copied().unwrap_or(0);
-        let leaves = p.offers.iter().any(|o| o.runner.leaving && o.runner.service == **service);
+        let have = p.retry_credit.get(*service).copied().unwrap_or(0);
+        let leaves = p.runners.iter().any(|o| o.runner.leaving && o.runner.service == **service);
         if *need > have && !leaves {
             faults.push(format!(
                 "{service}: {need} tries are needed and {have} are saved; wait for traffic or raise budget.allowance"
@@ -96,5 +96,5 @@
 }
 
 fn stays(p: &PlanInput, runner: &Name) -> bool {
-    p.offers.iter().any(|o| o.runner.instance == *runner && !o.runner.leaving)
+    p.runners.iter().any(|o| o.runner.instance == *runner && !o.runner.leaving)
 }
--- a/src/placement/usage.rs
+++ b/src/placement/usage.rs
@@ -11,26 +11,26 @@
 use std::sync::Arc;
 
 /// How long a router that fell silent is remembered.
-const KEPT: Span = Span::ms(5000);
+const REPORT_LIFETIME: Span = Span::ms(5000);
 /// How often the sums are made anew: this long for each router that tells, and
-const REFRESH_PER_ROUTER: Span = Span::ms(3);
+const REFRESH_INTERVAL_PER_ROUTER: Span = Span::ms(3);
 /// at least this long.
-const REFRESH: Span = Span::ms(20);
+const MIN_REFRESH_INTERVAL: Span = Span::ms(20);
 
 /// How much a model or adapter is used.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageTotal {
     /// How long nobody has used it.
-    pub idle: Span,
+    pub idle_for: Span,
     /// Requests a second.
-    pub per_s: f64,
+    pub requests_per_s: f64,
     /// Requests under way.
-    pub runs: u64,
+    pub active_requests: u64,
 }
 
 impl Default for UsageTotal {
     fn default() -> UsageTotal {
-        UsageTotal { idle: Span(u64::MAX >> 1), per_s: 0.0, runs: 0 }
+        UsageTotal { idle_for: Span(u64::MAX >> 1), requests_per_s: 0.0, active_requests: 0 }
     }
 }
 
@@ -41,10 +41,10 @@
 #[derive(Default)]
 pub struct Usage {
     /// By model or adapter.
-    pub names: UsageByName,
+    pub by_name: UsageByName,
     /// By runner: the models with requests under way.
-    pub running: BTreeMap<Name, Vec<(Name, u64)>>,
-    made: Time,
+    pub active_by_runner: BTreeMap<Name, Vec<(Name, u64)>>,
+    computed_at: Time,
 }
 
 impl Usage {
@@ -70,53 +70,59 @@
             }
         }
         for (name, (milli_per_s, runs)) in rates {
-            let row = UsageTotal { per_s: milli_per_s as f64 / 1000.0, runs, ..UsageTotal::default() };
+            let row = UsageTotal {
+                requests_per_s: milli_per_s as f64 / 1000.0,
+                active_requests: runs,
+                ..UsageTotal::default()
+            };
             names.insert(name.clone(), row);
         }
         for (name, last) in used {
             match names.get_mut(name) {
-                Some(row) => row.idle = now.since(*last),
-                None => drop(
-                    names
-                        .insert(name.clone(), UsageTotal { idle: now.since(*last), ..UsageTotal::default() }),
-                ),
+                Some(row) => row.idle_for = now.since(*last),
+                None => drop(names.insert(
+                    name.clone(),
+                    UsageTotal { idle_for: now.since(*last), ..UsageTotal::default() },
+                )),
             }
         }
         let rows = |m: BTreeMap<&Name, u64>| m.into_iter().map(|(name, n)| (name.clone(), n)).collect();
         let running = running.into_iter().map(|(runner, m)| (runner.clone(), rows(m))).collect();
-        Usage { names, running, made: now }
+        Usage { by_name: names, active_by_runner: running, computed_at: now }
     }
 
     /// The requests of a model that are under way at a runner.
-    pub fn runs(&self, runner: &Name, name: &Name) -> u64 {
-        let rows = self.running.get(runner);
+    pub fn active_requests(&self, runner: &Name, name: &Name) -> u64 {
+        let rows = self.active_by_runner.get(runner);
         rows.and_then(|rows| rows.iter().find(|r| r.0 == *name)).map_or(0, |r| r.1)
     }
 }
 
 impl Placement {
     /// Takes in what a router tells of itself.
-    pub fn told(&mut self, from: NodeId, tell: &Arc<RouterReport>, now: Time) {
+    pub fn record_router_report(&mut self, from: NodeId, tell: &Arc<RouterReport>, now: Time) {
         for u in &tell.uses {
-            match self.used.get_mut(&u.name) {
+            match self.last_used_at.get_mut(&u.name) {
                 Some(last) => *last = (*last).max(now - u.idle),
-                None => drop(self.used.insert(u.name.clone(), now - u.idle)),
+                None => drop(self.last_used_at.insert(u.name.clone(), now - u.idle)),
             }
         }
         for (service, name, count) in &tell.demand {
             let class = Class::Bulk;
             let want = UnmetDemand { service: service.clone(), name: name.clone(), class, count: *count };
-            self.wanted(from, &want, now);
+            self.record_want(from, &want, now);
         }
-        self.tells.insert(from, (now, tell.clone()));
+        self.router_reports.insert(from, (now, tell.clone()));
     }
 
     /// Sums anew what routers tell, unless that was done a moment ago.
     pub fn refresh_usage(&mut self, now: Time) {
-        let gap = Span((REFRESH_PER_ROUTER.0 * self.tells.len() as u64).max(REFRESH.0));
-        if now.since(self.usage.made) >= gap {
-            self.tells.retain(|_, row| now.since(row.0) < KEPT);
-            self.usage = Arc::new(Usage::of(&self.tells, &self.used, now));
+        let gap = Span(
+            (REFRESH_INTERVAL_PER_ROUTER.0 * self.router_reports.len() as u64).max(MIN_REFRESH_INTERVAL.0),
+        );
+        if now.since(self.usage.computed_at) >= gap {
+            self.router_reports.retain(|_, row| now.since(row.0) < REPORT_LIFETIME);
+            self.usage = Arc::new(Usage::of(&self.router_reports, &self.last_used_at, now));
         }
     }
 }
--- a/src/placement/wanted_names.rs
+++ b/src/placement/wanted_names.rs
@@ -10,12 +10,12 @@
 use std::collections::BTreeMap;
 
 /// How long what a router told of its waiting requests counts.
-const TOLD_COUNTS: Span = Span::ms(1500);
+const WANT_LIFETIME: Span = Span::ms(1500);
 /// How often older ones are looked for.
-const FORGET_EVERY: Span = Span::ms(100);
+const EXPIRY_INTERVAL: Span = Span::ms(100);
 
 /// What a request counts as having waited when it is told of, in ms.
-const FIRST_MS: u64 = 100;
+const INITIAL_WAIT_MS: u64 = 100;
 
 /// A name that requests wait for.
 pub struct WantedName {
@@ -24,16 +24,16 @@
     /// The most urgent class that waits.
     pub class: Class,
     /// Since when.
-    pub since: Time,
+    pub wanted_since: Time,
     /// Until when it is not weighed again, as no runner could take it.
-    pub(super) rests_until: Cell<Time>,
-    rows: BTreeMap<NodeId, (Time, u64)>,
+    pub(super) retry_after: Cell<Time>,
+    reports: BTreeMap<NodeId, (Time, u64)>,
 }
 
 impl WantedName {
     /// How many requests wait.
-    pub fn count(&self) -> u64 {
-        self.rows.values().map(|r| r.1).sum()
+    pub fn waiting_requests(&self) -> u64 {
+        self.reports.values().map(|r| r.1).sum()
     }
 
     /// The waiting of all requests for it so far, in ms, weighed by their class. The name with the most is met first:
@@ -45,49 +45,49 @@
             Class::Normal => 2,
             Class::Bulk => 1,
         };
-        (now.since(self.since).as_ms() + FIRST_MS) * self.count() * weight
+        (now.since(self.wanted_since).as_ms() + INITIAL_WAIT_MS) * self.waiting_requests() * weight
     }
 }
 
 impl Placement {
     /// A router tells what its requests wait for.
-    pub fn wanted(&mut self, from: NodeId, want: &UnmetDemand, now: Time) {
-        let row = self.wants.entry(want.name.clone()).or_insert_with(|| {
-            self.work.stirred = true;
+    pub fn record_want(&mut self, from: NodeId, want: &UnmetDemand, now: Time) {
+        let row = self.wanted_names.entry(want.name.clone()).or_insert_with(|| {
+            self.search.has_news = true;
             WantedName {
                 service: want.service.clone(),
                 class: want.class,
-                since: now,
-                rests_until: Cell::new(Time(0)),
-                rows: BTreeMap::new(),
+                wanted_since: now,
+                retry_after: Cell::new(Time(0)),
+                reports: BTreeMap::new(),
             }
         });
         row.class = row.class.min(want.class);
-        row.rows.insert(from, (now, want.count));
+        row.reports.insert(from, (now, want.count));
     }
 
     /// Forgets what no router has told of lately.
-    pub(super) fn forget_old_wants(&mut self, now: Time) {
-        if now.since(self.work.wants_forgotten) < FORGET_EVERY {
+    pub(super) fn expire_wants(&mut self, now: Time) {
+        if now.since(self.search.wants_expired_at) < EXPIRY_INTERVAL {
             return;
         }
-        self.work.wants_forgotten = now;
-        for wanted in self.wants.values_mut() {
-            wanted.rows.retain(|_, row| now.since(row.0) < TOLD_COUNTS);
+        self.search.wants_expired_at = now;
+        for wanted in self.wanted_names.values_mut() {
+            wanted.reports.retain(|_, row| now.since(row.0) < WANT_LIFETIME);
         }
-        self.wants.retain(|_, wanted| !wanted.rows.is_empty());
+        self.wanted_names.retain(|_, wanted| !wanted.reports.is_empty());
     }
 
     /// The wanted names in the order in which they are met.
-    pub fn most_pressing(&self, now: Time) -> Vec<&Name> {
+    pub fn wanted_by_pressure(&self, now: Time) -> Vec<&Name> {
         let mut names: Vec<(u64, &Name)> =
-            self.wants.iter().map(|(name, wanted)| (wanted.pressure(now), name)).collect();
+            self.wanted_names.iter().map(|(name, wanted)| (wanted.pressure(now), name)).collect();
         names.sort_by_key(|(pressure, name)| (std::cmp::Reverse(*pressure), *name));
         names.into_iter().map(|(_, name)| name).collect()
     }
 
     /// How many requests wait for a name.
-    pub fn waits(&self, name: &Name) -> u64 {
-        self.wants.get(name).map_or(0, |w| w.count())
+    pub fn waiting_requests(&self, name: &Name) -> u64 {
+        self.wanted_names.get(name).map_or(0, |w| w.waiting_requests())
     }
 }
--- a/src/rollout/candidate.rs
+++ b/src/rollout/candidate.rs
@@ -8,33 +8,33 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const NUDGE: Span = Span::ms(1000);
-const AGAIN: Span = Span::ms(1500);
-const TELL: Span = Span::ms(1500);
+const REMINDER_INTERVAL: Span = Span::ms(1000);
+const SETTLE_RESEND_DELAY: Span = Span::ms(1500);
+const REPORT_FRESHNESS: Span = Span::ms(1500);
 /// A router's report that is older is dropped.
-const FORGOTTEN_AFTER: Span = Span::ms(10_000);
+const REPORT_LIFETIME: Span = Span::ms(10_000);
 /// How often old reports are looked for.
-const FORGET_EVERY: Span = Span::ms(1000);
+const EXPIRY_INTERVAL: Span = Span::ms(1000);
 
 struct CandidateRollout {
     id: ChangeId,
-    since: Time,
-    stage_since: Time,
-    nudged: Time,
+    started_at: Time,
+    stage_started_at: Time,
+    reminded_at: Time,
     tries: u64,
-    rehearsing: bool,
+    is_rehearsing: bool,
     stages: Vec<StageFigure>,
-    settled: Option<Time>,
+    settled_at: Option<Time>,
 }
 
 #[derive(Default)]
 pub struct Rollout {
-    tells: BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
-    trial: Option<CandidateRollout>,
-    asked: Option<(ChangeId, Time)>,
-    spread: Option<(Version, Time)>,
-    spread_ms: Option<(Version, u64)>,
-    forgotten: Time,
+    router_reports: BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
+    candidate: Option<CandidateRollout>,
+    proposed_at: Option<(ChangeId, Time)>,
+    spreading: Option<(Version, Time)>,
+    last_spread: Option<(Version, u64)>,
+    expired_at: Time,
 }
 
 fn figure(name: &str, ms: u64, tries: u64, a: &Allowance, note: String) -> StageFigure {
@@ -42,10 +42,10 @@
 }
 
 impl Rollout {
-    fn forget_old_reports(&mut self, now: Time) {
-        if now.since(self.forgotten) >= FORGET_EVERY {
-            self.forgotten = now;
-            self.tells.retain(|_, row| now.since(row.0) < FORGOTTEN_AFTER);
+    fn expire_reports(&mut self, now: Time) {
+        if now.since(self.expired_at) >= EXPIRY_INTERVAL {
+            self.expired_at = now;
+            self.router_reports.retain(|_, row| now.since(row.0) < REPORT_LIFETIME);
         }
     }
 
@@ -60,29 +60,29 @@
     }
 
     fn tick(&mut self, ctx: &mut Context) {
-        self.spread_tick(ctx);
+        self.track_spread(ctx);
         let Some(candidate) = &ctx.views.state.candidate else {
-            self.trial = None;
+            self.candidate = None;
             return;
         };
         let (id, rules) = (candidate.id, Self::rules(ctx, candidate));
         if !ctx.views.role.is_head || !ctx.views.role.is_ready {
-            self.trial = None;
+            self.candidate = None;
             return;
         }
-        if self.trial.as_ref().is_none_or(|t| t.id != id) {
-            let asked = self.asked.filter(|a| a.0 == id).map_or(ctx.now, |a| a.1);
+        if self.candidate.as_ref().is_none_or(|t| t.id != id) {
+            let asked = self.proposed_at.filter(|a| a.0 == id).map_or(ctx.now, |a| a.1);
             let ms = ctx.now.since(asked).as_ms();
             let note = "no faults; recorded by every member of the chain".to_string();
-            self.trial = Some(CandidateRollout {
+            self.candidate = Some(CandidateRollout {
                 id,
-                since: ctx.now,
-                stage_since: ctx.now,
-                nudged: ctx.now,
+                started_at: ctx.now,
+                stage_started_at: ctx.now,
+                reminded_at: ctx.now,
                 tries: 1,
-                rehearsing: false,
+                is_rehearsing: false,
                 stages: vec![figure("check", ms, 1, &rules.deliver, note)],
-                settled: None,
+                settled_at: None,
             });
         }
         self.advance(id, &rules, ctx);
@@ -90,29 +90,31 @@
 
     fn advance(&mut self, id: ChangeId, rules: &Rules, ctx: &mut Context) {
         let routers = Self::routers(ctx);
-        let Some(t) = &mut self.trial else { return };
-        if let Some(at) = t.settled {
-            if ctx.now.since(at) > AGAIN {
-                t.settled = None;
+        let Some(t) = &mut self.candidate else { return };
+        if let Some(at) = t.settled_at {
+            if ctx.now.since(at) > SETTLE_RESEND_DELAY {
+                t.settled_at = None;
             }
             return;
         }
         let fresh: BTreeMap<NodeId, &Arc<RouterReport>> = self
-            .tells
+            .router_reports
             .iter()
-            .filter(|(n, row)| routers.contains(n) && ctx.now.since(row.0) < TELL && row.0 >= t.since)
+            .filter(|(n, row)| {
+                routers.contains(n) && ctx.now.since(row.0) < REPORT_FRESHNESS && row.0 >= t.started_at
+            })
             .map(|(n, row)| (*n, &row.1))
             .collect();
-        let ms = ctx.now.since(t.stage_since).as_ms();
-        let a = if t.rehearsing { &rules.rehearse } else { &rules.deliver };
+        let ms = ctx.now.since(t.stage_started_at).as_ms();
+        let a = if t.is_rehearsing { &rules.rehearse } else { &rules.deliver };
         let done = |n: &NodeId| {
-            fresh.get(n).is_some_and(|r| match t.rehearsing {
+            fresh.get(n).is_some_and(|r| match t.is_rehearsing {
                 false => r.candidate_seen == id,
                 true => r.rehearsal.as_ref().is_some_and(|x| x.id == id),
             })
         };
         let late: Vec<NodeId> = routers.iter().copied().filter(|n| !done(n)).collect();
-        let name = if t.rehearsing { "rehearse" } else { "deliver" };
+        let name = if t.is_rehearsing { "rehearse" } else { "deliver" };
         if routers.is_empty() || !late.is_empty() {
             if ms > a.ms || t.tries > a.tries {
                 let what = if routers.is_empty() {
@@ -126,11 +128,11 @@
                 };
                 t.stages.push(figure(name, ms, t.tries, a, what.clone()));
                 let (id, stages) = (t.id, t.stages.clone());
-                t.settled = Some(ctx.now);
+                t.settled_at = Some(ctx.now);
                 return Self::settle(id, Verdict::Refuse(what), stages, ctx);
             }
-            if ctx.now.since(t.nudged) > NUDGE {
-                t.nudged = ctx.now;
+            if ctx.now.since(t.reminded_at) > REMINDER_INTERVAL {
+                t.reminded_at = ctx.now;
                 t.tries += 1;
                 for n in late {
                     ctx.send(n, Msg::RequestUpdates);
@@ -138,10 +140,10 @@
             }
             return;
         }
-        if !t.rehearsing {
+        if !t.is_rehearsing {
             t.stages.push(figure("deliver", ms, t.tries, a, format!("{} routers hold it", routers.len())));
-            t.rehearsing = true;
-            t.stage_since = ctx.now;
+            t.is_rehearsing = true;
+            t.stage_started_at = ctx.now;
             t.tries = 1;
             return;
         }
@@ -155,7 +157,7 @@
             rows.len()
         );
         t.stages.push(figure("rehearse", ms, t.tries, a, note));
-        t.settled = Some(ctx.now);
+        t.settled_at = Some(ctx.now);
         let over = refused * 100 > planned * rules.refused_percent;
         let verdict = if over {
             Verdict::Refuse(format!(
@@ -173,14 +175,15 @@
         ctx.publish(JournalEvent::Submitted(Arc::new(Change::Settle { id, verdict, stages })));
     }
 
-    fn spread_tick(&mut self, ctx: &mut Context) {
-        let Some((at, since)) = self.spread else { return };
+    fn track_spread(&mut self, ctx: &mut Context) {
+        let Some((at, since)) = self.spreading else { return };
         let routers = Self::routers(ctx);
-        let all = routers.iter().all(|n| self.tells.get(n).is_some_and(|r| r.1.routes_version >= at));
+        let all =
+            routers.iter().all(|n| self.router_reports.get(n).is_some_and(|r| r.1.routes_version >= at));
         if all && !routers.is_empty() {
             let ms = ctx.now.since(since).as_ms();
-            self.spread = None;
-            self.spread_ms = Some((at, ms));
+            self.spreading = None;
+            self.last_spread = Some((at, ms));
             ctx.log_event("configuration-spread", format!("{at} on {} routers after {ms}ms", routers.len()));
         }
     }
@@ -194,21 +197,21 @@
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         match ev {
             Event::Message { from, msg: Msg::RouterReport(tell), .. } => {
-                self.tells.insert(*from, (ctx.now, tell.clone()));
+                self.router_reports.insert(*from, (ctx.now, tell.clone()));
             }
             Event::Journal(JournalEvent::Submitted(change)) => {
                 if let Change::Propose { id, .. } = &**change {
-                    self.asked = Some((*id, ctx.now));
+                    self.proposed_at = Some((*id, ctx.now));
                 }
             }
             Event::Journal(JournalEvent::Committed { at, change }) => {
                 if let Change::Settle { verdict: Verdict::Commit, .. } = &**change {
-                    self.spread = Some((*at, ctx.now));
+                    self.spreading = Some((*at, ctx.now));
                 }
                 self.tick(ctx);
             }
             Event::DutyTick => {
-                self.forget_old_reports(ctx.now);
+                self.expire_reports(ctx.now);
                 self.tick(ctx);
             }
             _ => {}
@@ -216,7 +219,7 @@
     }
 
     fn status(&self, _now: Time) -> Vec<(&'static str, String)> {
-        let spread = self.spread_ms.map_or("none".into(), |(v, ms)| format!("{v} {ms}ms"));
-        vec![("routers_heard", self.tells.len().to_string()), ("last_spread", spread)]
+        let spread = self.last_spread.map_or("none".into(), |(v, ms)| format!("{v} {ms}ms"));
+        vec![("routers_heard", self.router_reports.len().to_string()), ("last_spread", spread)]
     }
 }
--- a/src/rollout/router_reports.rs
+++ b/src/rollout/router_reports.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// With up to this many routers all controllers are told, so that a new holder knows the use of names at once.
-const ROUTERS_TELLING_ALL: usize = 32;
+const SMALL_FLEET_ROUTERS: usize = 32;
 /// How often a router tells of itself in a small fleet. With more routers it does so less often, in proportion,
 const SHORTEST_INTERVAL: Span = Span::ms(250);
 /// but at least this often.
@@ -24,18 +24,18 @@
 }
 
 /// Whether so many routers are few enough to turn to all controllers.
-pub fn is_small(routers: usize) -> bool {
-    routers <= ROUTERS_TELLING_ALL
+pub fn is_small_fleet(routers: usize) -> bool {
+    routers <= SMALL_FLEET_ROUTERS
 }
 
 /// Whether the routers are few enough to tell all controllers of themselves.
-pub fn tells_all(views: &Views) -> bool {
-    is_small(router_count(views))
+pub fn reports_to_all_controllers(views: &Views) -> bool {
+    is_small_fleet(router_count(views))
 }
 
 /// How often each of so many routers tells of itself.
 pub fn report_interval(routers: usize) -> Span {
-    let proportional = SHORTEST_INTERVAL.0 * routers as u64 / ROUTERS_TELLING_ALL as u64;
+    let proportional = SHORTEST_INTERVAL.0 * routers as u64 / SMALL_FLEET_ROUTERS as u64;
     Span(proportional.clamp(SHORTEST_INTERVAL.0, LONGEST_INTERVAL.0))
 }
 
@@ -47,7 +47,7 @@
 /// What the head was told last.
 #[derive(Default, PartialEq)]
 struct ToldHead {
-    trial: ChangeId,
+    candidate: ChangeId,
     rehearsed: ChangeId,
     routes_version: Version,
     leaving: Vec<Name>,
@@ -58,41 +58,41 @@
 /// that are leaving. Nobody is told in the holder's place while it is not known: a new one makes itself known.
 #[derive(Default)]
 pub struct RouterReporter {
-    contact: DutyHolderContact,
+    holder_contact: DutyHolderContact,
     holder: Option<NodeId>,
     view: ViewNo,
     /// When the holder is to be told next.
-    due: Time,
-    told_head: ToldHead,
+    next_report_at: Time,
+    sent_to_head: ToldHead,
 }
 
 impl RouterReporter {
-    fn note_changes(&mut self, ctx: &Context) {
+    fn track_receivers(&mut self, ctx: &Context) {
         let (view, holder) =
-            (ctx.views.view.as_ref().map_or(ViewNo(0), |v| v.no), self.contact.holder(ctx.now));
+            (ctx.views.view.as_ref().map_or(ViewNo(0), |v| v.no), self.holder_contact.holder(ctx.now));
         if (view, holder) != (self.view, self.holder) {
             (self.view, self.holder) = (view, holder);
-            self.told_head = ToldHead::default();
+            self.sent_to_head = ToldHead::default();
         }
     }
 
-    fn tell_all(tell: &Arc<RouterReport>, ctx: &mut Context) {
+    fn report_to_all(tell: &Arc<RouterReport>, ctx: &mut Context) {
         let receivers: Vec<NodeId> = ctx.views.controllers().map(|row| row.who.node).collect();
         for to in receivers {
             ctx.send(to, Msg::RouterReport(tell.clone()));
         }
     }
 
-    fn tell_users(&mut self, tell: &Arc<RouterReport>, routers: usize, ctx: &mut Context) {
+    fn report_to_users(&mut self, tell: &Arc<RouterReport>, routers: usize, ctx: &mut Context) {
         let head = ctx.views.view.as_ref().and_then(View::head);
         let news = self.is_news_for_head(tell);
         if let Some(head) = head.filter(|_| news) {
             ctx.send(head, Msg::RouterReport(tell.clone()));
         }
-        if ctx.now < self.due && !news {
+        if ctx.now < self.next_report_at && !news {
             return;
         }
-        self.due = next_turn(ctx.me.node, report_interval(routers), ctx.now);
+        self.next_report_at = next_report_time(ctx.me.node, report_interval(routers), ctx.now);
         if let Some(holder) = self.holder.filter(|holder| !news || head != Some(*holder)) {
             ctx.send(holder, Msg::RouterReport(tell.clone()));
         }
@@ -101,20 +101,20 @@
     /// Whether the head is to be told at once. It is told anew as long as a change is tried or a runner is leaving.
     fn is_news_for_head(&mut self, tell: &RouterReport) -> bool {
         let told = ToldHead {
-            trial: tell.candidate_seen,
+            candidate: tell.candidate_seen,
             rehearsed: tell.rehearsal.as_ref().map(|rehearsal| rehearsal.id).unwrap_or_default(),
             routes_version: tell.routes_version,
             leaving: tell.leaving.clone(),
         };
-        let lasts = told.trial != ChangeId::default() || !told.leaving.is_empty();
-        let news = lasts || !tell.live.is_empty() || told != self.told_head;
-        self.told_head = told;
+        let is_ongoing = told.candidate != ChangeId::default() || !told.leaving.is_empty();
+        let news = is_ongoing || !tell.live.is_empty() || told != self.sent_to_head;
+        self.sent_to_head = told;
         news
     }
 }
 
 /// The next time at which it is this router's turn, so that not all tell at the same moment.
-fn next_turn(me: NodeId, interval: Span, now: Time) -> Time {
+fn next_report_time(me: NodeId, interval: Span, now: Time) -> Time {
     let offset = mix(me.0) % interval.0;
     let since_turn = (now.0 + interval.0 - offset) % interval.0;
     now + Span(interval.0 - since_turn)
@@ -132,16 +132,16 @@
                 ctx.effects.push(Effect::RouterCount(known.count() as u64));
             }
             Event::Message { msg: Msg::Holdings(tell), .. } => {
-                self.contact.heard(tell.holder, tell.term, ctx.now);
+                self.holder_contact.record_message(tell.holder, tell.term, ctx.now);
             }
             Event::RouterState(tell) => {
                 for name in &tell.leaving {
                     ctx.publish(JournalEvent::RunnerMarked(name.clone()));
                 }
-                self.note_changes(ctx);
+                self.track_receivers(ctx);
                 match router_count(ctx.views) {
-                    few if is_small(few) => Self::tell_all(tell, ctx),
-                    many => self.tell_users(tell, many, ctx),
+                    few if is_small_fleet(few) => Self::report_to_all(tell, ctx),
+                    many => self.report_to_users(tell, many, ctx),
                 }
             }
             _ => {}
--- a/tests/distrust.rs
+++ b/tests/distrust.rs
@@ -14,20 +14,20 @@
 #[test]
 fn given_a_runner_whose_loads_fail_when_they_are_tried_again_then_each_pause_is_twice_as_long() {
     let mut distrust = LoadBackoff::default();
-    assert!(!distrust.is_paused(&runner(), NOW) && !distrust.is_doubted(&runner()));
+    assert!(!distrust.is_paused(&runner(), NOW) && !distrust.has_failures(&runner()));
     let (mut now, mut pause) = (NOW, FIRST_PAUSE);
     for _ in 0..12 {
-        distrust.failed(&runner(), now);
-        distrust.failed(&runner(), now + Span(pause.0 / 2));
+        distrust.record_failure(&runner(), now);
+        distrust.record_failure(&runner(), now + Span(pause.0 / 2));
         assert!(distrust.is_paused(&runner(), now + Span(pause.0 - 1)));
         assert!(!distrust.is_paused(&runner(), now + pause), "a failure inside the pause prolongs nothing");
-        assert!(distrust.is_doubted(&runner()), "its told room stays in doubt after the pause");
+        assert!(distrust.has_failures(&runner()), "its told room stays in doubt after the pause");
         now = now + pause;
         pause = Span((pause.0 * 2).min(LONGEST_PAUSE.0));
     }
     assert_eq!(distrust.paused(now).count(), 0);
-    distrust.forget(now + FORGOTTEN_AFTER);
-    assert!(!distrust.is_doubted(&runner()), "old failures are forgotten");
+    distrust.remove_expired(now + FORGOTTEN_AFTER);
+    assert!(!distrust.has_failures(&runner()), "old failures are forgotten");
 }
 
 #[test]
@@ -43,7 +43,7 @@
     };
     let mut distrust = LoadBackoff::default();
     assert_eq!(distrust.corrected(&config, report.clone()).used_mb, 0, "believed until a load fails");
-    distrust.failed(&runner(), NOW);
+    distrust.record_failure(&runner(), NOW);
     assert_eq!(distrust.corrected(&config, report.clone()).used_mb, 100);
     let more = RunnerReport { used_mb: 130, ..report };
     assert_eq!(distrust.corrected(&config, more).used_mb, 130, "more than the weights is believed");
@@ -53,12 +53,12 @@
 fn given_a_load_that_was_taken_when_no_report_ever_shows_it_then_it_counts_as_failed() {
     let mut flights = PendingOrders::default();
     let flight = PendingOrder::planned(runner(), Name::from("big"), 60, false, NOW);
-    flights.rows.insert(OrderId(1), flight);
-    flights.answered(NOW, OrderId(1), 200);
+    flights.table.insert(OrderId(1), flight);
+    flights.record_answer(NOW, OrderId(1), 200);
     let report = RunnerReport { instance: runner(), ..RunnerReport::default() };
-    assert!(!flights.told(NOW + Span::ms(2000), &report), "it may still begin");
+    assert!(!flights.record_report(NOW + Span::ms(2000), &report), "it may still begin");
     let at_work = RunnerReport { busy: true, ..report.clone() };
-    assert!(!flights.told(NOW + Span::ms(4000), &at_work), "it is at work on it");
-    assert!(flights.told(NOW + Span::ms(4000), &report));
-    assert!(!flights.told(NOW + Span::ms(4000), &report), "and that once");
+    assert!(!flights.record_report(NOW + Span::ms(4000), &at_work), "it is at work on it");
+    assert!(flights.record_report(NOW + Span::ms(4000), &report));
+    assert!(!flights.record_report(NOW + Span::ms(4000), &report), "and that once");
 }
--- a/tests/flight_table.rs
+++ b/tests/flight_table.rs
@@ -11,7 +11,7 @@
 
 fn flight(runner: u8, name: u8, load: bool) -> PendingOrder {
     let (runner, name) = (Name(format!("r{}", runner % RUNNERS)), Name(format!("m{}", name % NAMES)));
-    PendingOrder { load, ..PendingOrder::planned(runner, name, 1, false, Time(1)) }
+    PendingOrder { is_load: load, ..PendingOrder::planned(runner, name, 1, false, Time(1)) }
 }
 
 /// Whether each look-up finds what a search of all rows finds.
@@ -19,8 +19,8 @@
     let at = |n: u8| Name(format!("r{n}"));
     let of = |n: u8| Name(format!("m{n}"));
     let by_runner = |n: u8| table.values().filter(|f| f.runner == at(n)).count();
-    let by_name = |n: u8| table.values().filter(|f| f.load && f.name == of(n)).count();
-    (0..RUNNERS).all(|n| table.at(&at(n)).count() == by_runner(n))
+    let by_name = |n: u8| table.values().filter(|f| f.is_load && f.name == of(n)).count();
+    (0..RUNNERS).all(|n| table.at_runner(&at(n)).count() == by_runner(n))
         && (0..NAMES).all(|n| table.loads_of(&of(n)).count() == by_name(n))
         && table.len() == table.values().count()
 }
@@ -35,7 +35,7 @@
             match kind % 3 {
                 0 => table.insert(order, flight(runner, name, load)),
                 1 => drop(table.remove(order)),
-                _ => table.retain_at(&Name(format!("r{}", runner % RUNNERS)), |f| f.load == load),
+                _ => table.retain_at(&Name(format!("r{}", runner % RUNNERS)), |f| f.is_load == load),
             }
             is_consistent(&table)
         })
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -47,30 +47,30 @@
 fn best(offers: &[RunnerState], f: &PendingOrders, want: &str) -> Option<Remedy> {
     let none = |_: &Name| false;
     let rows = estimates(&config(), offers, f, &Name::from(want), NOW, &|n| n.0 == want, &none);
-    rows.first().map(|e| e.way.clone())
+    rows.first().map(|e| e.remedy.clone())
 }
 
 #[test]
 fn given_a_load_in_flight_when_room_is_counted_then_it_is_taken_until_the_report_shows_it() {
     let (c, mut o, mut f) = (config(), offer("a", &[], 0, &[]), PendingOrders::default());
     assert!(fits(&c, &o, &f, &Name::from("big")));
-    f.rows.insert(OrderId(1), flight("a", "big", 60));
+    f.table.insert(OrderId(1), flight("a", "big", 60));
     assert_eq!(free_mb(&c, &o, &f), 40);
     assert!(!fits(&c, &o, &f, &Name::from("big")), "in flight and not yet reported");
     o.report.loading.push(Name::from("big"));
     o.report.used_mb = 60;
     assert_eq!(free_mb(&c, &o, &f), 40, "counted once");
-    f.answered(NOW, OrderId(1), 0);
-    f.told(NOW + Span::ms(4000), &offer("a", &[], 0, &[]).report);
+    f.record_answer(NOW, OrderId(1), 0);
+    f.record_report(NOW + Span::ms(4000), &offer("a", &[], 0, &[]).report);
     assert_eq!(free_mb(&c, &offer("a", &[], 0, &[]), &f), 40, "an unknown outcome still counts");
-    f.told(NOW + Span::ms(9500), &offer("a", &[], 0, &[]).report);
+    f.record_report(NOW + Span::ms(9500), &offer("a", &[], 0, &[]).report);
     assert_eq!(free_mb(&c, &offer("a", &[], 0, &[]), &f), 40, "it may have been held up and arrive yet");
-    assert!(!f.open(&Name::from("a")), "others may go ahead");
+    assert!(!f.is_blocked(&Name::from("a")), "others may go ahead");
     let mut later = f.clone();
-    later.told(NOW + Span::ms(61_000), &offer("a", &[], 0, &[]).report);
+    later.record_report(NOW + Span::ms(61_000), &offer("a", &[], 0, &[]).report);
     assert_eq!(free_mb(&c, &offer("a", &[], 0, &[]), &later), 100, "it is forgotten in the end");
-    f.rows.insert(OrderId(2), flight("a", "mid", 30));
-    f.answered(NOW + Span::ms(9600), OrderId(2), 202);
+    f.table.insert(OrderId(2), flight("a", "mid", 30));
+    f.record_answer(NOW + Span::ms(9600), OrderId(2), 202);
     assert_eq!(free_mb(&c, &offer("a", &[], 0, &[]), &f), 70, "an order that was taken since voids it");
 }
 
--- a/tests/placement_steps.rs
+++ b/tests/placement_steps.rs
@@ -80,7 +80,7 @@
             for n in 0..NAMES {
                 let (service, name) = (Name::from("assistant"), size().held(n));
                 let want = UnmetDemand { service, name, class: Class::Chat, count: 1 };
-                holder.bench.component.wanted(router(n % ROUTERS), &want, holder.bench.now);
+                holder.bench.component.record_want(router(n % ROUTERS), &want, holder.bench.now);
             }
         }
         let before = holder.bench.figure("weighed");
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -37,10 +37,10 @@
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + Span::ms(20);
-            self.pacer.tick(self.now);
+            self.pacer.advance_clock(self.now);
             while self.pacer.left(&RULE) >= 1.0 {
                 self.next += 1;
-                self.pacer.took(OrderId(self.next), Span::ms(1000));
+                self.pacer.reserve(OrderId(self.next), Span::ms(1000));
                 self.loads.push(self.now + late(self.next));
             }
         }
@@ -55,8 +55,8 @@
 fn given_orders_that_arrive_late_by_turns_when_loads_are_wanted_all_the_time_then_no_window_sees_too_many() {
     for seed in 0..40u64 {
         let mut h = hand();
-        h.pacer.tick(h.now);
-        h.pacer.found(&RULE);
+        h.pacer.advance_clock(h.now);
+        h.pacer.reset(&RULE);
         h.run(Span::ms(30_000), |n| Span::ms((n * (seed * 2 + 1) * 137) % 1000));
         h.loads.sort();
         assert!(h.loads.len() > 60, "it is used: {}", h.loads.len());
@@ -73,12 +73,12 @@
 #[test]
 fn given_a_predecessor_that_spent_all_when_the_holder_changes_then_the_window_holds_over_both() {
     let mut one = hand();
-    one.pacer.tick(one.now);
-    one.pacer.found(&RULE);
+    one.pacer.advance_clock(one.now);
+    one.pacer.reset(&RULE);
     one.run(Span::ms(7000), |_| Span(0));
     let mut two = Hand { pacer: StoreBudget::default(), now: one.now, next: 0, loads: one.loads.clone() };
-    two.pacer.tick(two.now);
-    two.pacer.follow(&RULE, Span::ms(1000));
+    two.pacer.advance_clock(two.now);
+    two.pacer.reset_for_successor(&RULE, Span::ms(1000));
     let before = two.loads.len();
     two.run(Span::ms(8000), |_| Span(0));
     assert!(two.loads.len() > before + 6, "the successor loads too");
--- a/tests/wants.rs
+++ b/tests/wants.rs
@@ -15,11 +15,11 @@
 
 fn want(placement: &mut Placement, router: u64, name: &str, class: Class, count: u64, now: Time) {
     let (service, name) = (Name::from("assistant"), Name::from(name));
-    placement.wanted(NodeId(router), &UnmetDemand { service, name, class, count }, now);
+    placement.record_want(NodeId(router), &UnmetDemand { service, name, class, count }, now);
 }
 
 fn first(placement: &Placement, now: Time) -> &str {
-    &placement.most_pressing(now)[0].0
+    &placement.wanted_by_pressure(now)[0].0
 }
 
 #[test]
@@ -33,7 +33,7 @@
         want(&mut placement, router, "hot", Class::Chat, 3, later);
     }
     assert_eq!(first(&placement, later), "hot");
-    assert_eq!(placement.most_pressing(later).len(), 171);
+    assert_eq!(placement.wanted_by_pressure(later).len(), 171);
 }
 
 #[test]
@@ -60,6 +60,6 @@
     want(&mut placement, 1, "counter", Class::Counter, 1, BEGIN);
     let later = BEGIN + Span::ms(50);
     want(&mut placement, 1, "a-later-chat", Class::Chat, 1, later);
-    let names: Vec<&str> = placement.most_pressing(later).into_iter().map(|name| &*name.0).collect();
+    let names: Vec<&str> = placement.wanted_by_pressure(later).into_iter().map(|name| &*name.0).collect();
     assert_eq!(names, ["counter", "chat", "a-later-chat", "normal", "bulk"]);
 }
