--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -21,17 +21,17 @@
 restart-proof|src/distribution/reader.rs|proven < self.started \|\| ||news slides_back
 same-event|src/transfer/handover.rs|if !self.contract.same_place\(a, b\)|if false|must_never_too source_keeps_it
 budget|src/gate/budget.rs|if self.credit < 1.0|if false|must_never_too in_the_budget
-holder-wait|src/placement/duty.rs|QUIET: Span = Span::ms\(4000\)|QUIET: Span = Span::ms(0)|must_never_too three_seconds_apart
-room|src/placement/room.rs|if free_mb\(c, o, f\) < mb|if false|must_never_too never_overrun
-in-flight|src/placement/flights.rs|self.rows.at\(&report.instance\).filter\(new\).map\(\|f\| f.mb\).sum\(\)|0|placement in_flight
-store-rate|src/placement/flights.rs|at_once.min\(self.pacer.left\(rule\).max\(0.0\) as u64\)|at_once|must_never_too never_overrun
+holder-wait|src/placement/component.rs|TAKEOVER_WAIT: Span = Span::ms\(4000\)|TAKEOVER_WAIT: Span = Span::ms(0)|must_never_too three_seconds_apart
+room|src/placement/free_room.rs|if free_mb\(c, o, f\) < mb|if false|must_never_too never_overrun
+in-flight|src/placement/pending_orders.rs|self.table.at_runner\(&report.instance\).filter\(new\).map\(\|f\| f.weight_mb\).sum\(\)|0|placement in_flight
+store-rate|src/placement/pending_orders.rs|at_once.min\(self.store_budget.left\(rule\).max\(0.0\) as u64\)|at_once|must_never_too never_overrun
 sync-first|src/kernel/hold.rs|if self.queue.is_empty\(\) \{|if true {|news before_it_is_synced
 compare-swap|src/fleet/fold.rs|if base != self.config_version|if false|order_identity whole_configurations_on_one_base
 ready-kept|src/chain/recovery.rs|self.ready_in_view = Some\(view\)|drop(view)|must_never they_are_kept
 lead-folded|src/chain/installation.rs|self.is_head\(\) && self.committed >= self.inherited_up_to|self.is_head()|lead the_rest_is_kept
 ready-stays|src/chain/installation.rs|went_on && self.is_ready && view.has\(self.node_id\)|false|mend all_the_same
 mending|src/chain/view_change.rs|if !self.in_chain\(\) \|\| !self.is_ready \|\| !self.hears_majority\(ctx.now\)|if true|chain changes_go_on
-return-time|src/placement/duty.rs|QUIET: Span = Span::ms\(4000\)|QUIET: Span = Span::ms(14000)|back each_herd
+return-time|src/placement/component.rs|TAKEOVER_WAIT: Span = Span::ms\(4000\)|TAKEOVER_WAIT: Span = Span::ms(14000)|back each_herd
 wait-refused|src/gate/wait.rs|if now \+ wait < order.due \{|if true {|wait hear_it_early
 overlap|src/forwarding/resume.rs|Join::Repeat\(last\) if last == item|Join::Repeat(_)|forwarding mixed
 join-by-id|src/forwarding/resume.rs|self.sequence.is_next\(id\)\)|self.sequence.is_next(id) \|\| true)|platform_stream never_mixed
@@ -48,15 +48,15 @@
 panic-ends|src/daemon/panics.rs|unsafe \{ libc::_exit\(PANIC_EXIT\) \}||panics ends_with_a_logged_event
 closed-end|src/forwarding/attempt.rs|end == AnswerEnd::Framed \|\| l.boundary.may_end\(\)|true|platform_stream_end may_not_be_resumed
 unplaced|src/forwarding/resume.rs|\(self.order.resumable && !self.unplaced\)|(self.order.resumable)|platform_stream_end without_ids
-withdrawn-room|src/placement/distrust.rs|let known: Option<u64> = names.map\(\|name\| config.max_mb\(name\)\).sum\(\);\s+known.unwrap_or\(report.room_mb\)|names.filter_map(\|name\| config.weight(name)).sum()|withdrawn over_its_room
-withdrawn-unload|src/placement/stages.rs|self.retire_withdrawn\(&s, ctx\);||withdrawn over_its_room
+withdrawn-room|src/placement/load_backoff.rs|let known: Option<u64> = names.map\(\|name\| config.max_mb\(name\)\).sum\(\);\s+known.unwrap_or\(report.room_mb\)|names.filter_map(\|name\| config.weight(name)).sum()|withdrawn over_its_room
+withdrawn-unload|src/placement/move_execution.rs|self.unload_withdrawn\(&s, ctx\);||withdrawn over_its_room
 stop-delivered|src/http/client.rs|matches!\(c.phase\(\), Phase::Serving \| Phase::Flushing\) \|\| c.unacknowledged\(\) > 0|matches!(c.phase(), Phase::Serving)|platform_stop handed_over
 stop-lingers|src/http/client.rs|self.all.stopping.load\(Ordering::SeqCst\) && |false && |platform_stop handed_over
 order-sequence|src/sim/runner_orders.rs|Some\(o.expected\)|None|room held_up
-foreign-order|src/placement/flights.rs|busy && !self.rows|false && !self.rows|room predecessor
-overdue-room|src/placement/flights.rs|f.overdue \|= !f.answered|f.there \|= !f.answered|placement in_flight
-plan-accept|src/placement/demand.rs|s.config.placement.auto \{ PlanState::Running|true { PlanState::Running|plan version_is_accepted
-plan-allowance|src/placement/drive.rs|if ms > most.ms \|\| tries > most.tries|if false|plan at_its_allowance
+foreign-order|src/placement/pending_orders.rs|busy && !self.table|false && !self.table|room predecessor
+overdue-room|src/placement/pending_orders.rs|f.is_overdue \|= !f.is_accepted|f.is_finished \|= !f.is_accepted|placement in_flight
+plan-accept|src/placement/proposals.rs|s.config.placement.auto \{ PlanState::Running|true { PlanState::Running|plan version_is_accepted
+plan-allowance|src/placement/plan_execution.rs|if ms > most.ms \|\| tries > most.tries|if false|plan at_its_allowance
 route-again|src/gate/admission.rs|if order.routes_version >= self.routes.0|if true|turn their_route_is_dropped
 key-known|src/gate/admission.rs|if credential.is_none\(\) && !row.route.open|if false|platform_keys has_no_known_key
 key-last-check|src/gate/admission.rs|None => Err\(Why::UnknownKey\),|None => Ok(()),|tenants none_begins_after_the_change
@@ -64,17 +64,17 @@
 key-not-forwarded|src/platform/caller.rs|heads.remove\(KEY_HEADER\)\?|heads.get(KEY_HEADER).cloned()?|platform_keys hears_its_tenant
 tenant-claim|src/platform/runner.rs|heads.remove\(TENANT\);||platform_keys neither_key_nor_tenant
 key-unshown|src/chain/show.rs|state.config.shown\(\)|state.config.tree()|platform_tenants anything_of_the_fleet
-silent-unload|src/placement/flights.rs|!self.load && !self.overdue|!self.load|silent_unload every_model_is_served
+silent-unload|src/placement/pending_orders.rs|!self.is_load && !self.is_overdue|!self.is_load|silent_unload every_model_is_served
 list-step-in|src/runner_list/reader.rs|if age >= self.timing.max_age\(0, 1\) && age >= self.max_age\(ctx\) \{|if false {|runner_list cut_off_from_the_list
 list-mark|src/runner_list/reader.rs|\.filter\(\|r\| r.leaving\)|.filter(\|_\| false)|runner_list held_up_by_slow_disks
 mark-gossip|src/gate/sweep.rs|h.leaving = true;\s+g.wake\(now\);|g.wake(now);|leaving tells_only_it
 refused-in-force|src/fleet/fold.rs|return self.end\(id, OutcomeCode::RehearsalFailed|self.config = *t.config; self.config_version = self.at; self.touch(Scope::Routes); return self.end(id, OutcomeCode::RehearsalFailed|rehearse live_orders
 restart-credit|src/gate/budget.rs|credit: 0.0|credit: 10.0|tries restarts
 saved-credit|src/gate/budget.rs|self.share.max\(LEAST as f64\)|500.0|tries quiet_time
-round-pace|src/placement/quick.rs|if now.since\(self.work.last_round\) < gap|if false|grown holder_orders_soon
-tell-few|src/rollout/tell.rs|routers <= ROUTERS_TELLING_ALL|true|report_pace hears_each_once_a_second
+round-pace|src/placement/decisions.rs|if now.since\(self.search.last_round_at\) < gap|if false|grown holder_orders_soon
+tell-few|src/rollout/router_reports.rs|routers <= SMALL_FLEET_ROUTERS|true|report_pace hears_each_once_a_second
 tick-pace|src/daemon/ticks.rs|if now.since\(self.last\) < period|if false|ticks fifty_times
-distrust|src/placement/look.rs|self.distrust.failed\(runner, ctx.now\);||liar serve_on
+distrust|src/placement/report_polling.rs|self.load_backoff.record_failure\(runner, ctx.now\);||liar serve_on
 read-index|src/chain/read_index.rs|return self.on_arrival\(from, id, attempt, op, ctx\)|return self.decide(from, id, attempt, op, ctx)|cut_off nothing_old_is_said
 lease-release|src/chain/reply.rs|decision.taken_at\(\).is_none_or\(\|at\| at <= views.released\)|true|dark_core acknowledgement_waits
 lease-unknown|src/chain/serving_leases.rs|ctx.now \+ ctx.me.serving_lease \+ LEASE_DURATION;|ctx.now;|dark_core core_restarts
@@ -97,7 +97,7 @@
 stuck-grants|src/kernel/hold.rs|\|\| \(stuck && needs_no_disk\(&e\)\)||hold leave_at_once
 sync-reachable|src/membership/exchange.rs|let reached = self.table.rows.contains_key\(&from\);|let reached = true;|membership can_be_reached_is_asked
 name-itself|src/membership/exchange.rs|if !answers && rows|if false && rows|membership says_who_sends_it
-want-order|src/placement/wants.rs|\* self.count\(\) \* weight|* weight|wants goes_ahead_of_them
+want-order|src/placement/wanted_names.rs|\* self.waiting_requests\(\) \* weight|* weight|wants goes_ahead_of_them
 lease-returned|src/chain/acceptor.rs|self.return_lease\(\*view_no, ctx\);||full_and_wiped served_in_each_case
 closing-synced|src/kernel/hold.rs|if self.queue.is_empty\(\) \{|if true {|closing read_back_everywhere
 return-current|src/chain/lease.rs|self.acceptor.granted_lease != Some\(\(from, sent\)\)|false|lease_return waited_for
@@ -137,8 +137,8 @@
 deferrable-turn|src/kernel/input_queue.rs|self.passed_over\[\*lane as usize\] >= TURNS|false|input_queue each_gets_its_turn
 duty-lane|src/kernel/lanes.rs|Class::kept\(Lane::Duty\)|Class::kept(Lane::Deferrable)|input_queue neither_waits_behind_them
 runtime-turn|src/daemon/driver.rs|if self.clock.now\(\) >= turn_due \{|if false {|runtime_turns leave_all_the_same
-tell-pace|src/placement/push.rs|match router_count\(ctx.views\)|match self.tells.len()|placement_steps few_times_a_second
-round-half|src/placement/round.rs|else \{ round.half\(\) \}|else { Reserve::default() }|placement_shares for_the_names
+tell-pace|src/placement/holdings_push.rs|match router_count\(ctx.views\)|match self.router_reports.len()|placement_steps few_times_a_second
+round-half|src/placement/decision_round.rs|else \{ round.half_reserve\(\) \}|else { Reserve::default() }|placement_shares for_the_names
 outcomes-kept|src/kernel/lanes.rs|Event::RunnerReport \{ .. \} \| Event::OrderAnswered \{ .. \} => Class::kept|Event::RunnerReport { .. } \| Event::OrderAnswered { .. } => Class::droppable|input_queue may_be_lost_goes
 live-orders-kept|src/kernel/lanes.rs|replaceable: tell.live.is_empty\(\)|replaceable: true|input_queue not_lost_and_order_is_kept
 bulk-behind|src/kernel/input_queue.rs|LANES.into_iter\(\).find\(waits\)|LANES.into_iter().rev().find(waits)|links it_goes_out_first
