--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -1,7 +1,7 @@
 use super::print::human;
 use crate::fleet::read::read_text;
 use crate::http::connection::SendError;
-use crate::http::pool::{Pool, open};
+use crate::http::pool::{Pool, always_allowed};
 use crate::json::Tree;
 use crate::json::tree::map;
 use bytes::Bytes;
@@ -68,11 +68,11 @@
             order = order.header(*k, v);
         }
         let order = order.body(Full::new(Bytes::from(a.body.clone()))).map_err(|e| e.to_string())?;
-        match pool.whole(*node, order, Duration::from_secs(25), open()).await {
+        match pool.fetch(*node, order, Duration::from_secs(25), always_allowed()).await {
             Ok((status, body)) => {
                 return Ok(Sent { status, body: String::from_utf8_lossy(&body).into_owned() });
             }
-            Err(SendError::Unsure) if a.method != "GET" => {
+            Err(SendError::MaybeSent) if a.method != "GET" => {
                 return Ok(Sent {
                     status: 504,
                     body: map(&[
--- a/src/daemon/assemble.rs
+++ b/src/daemon/assemble.rs
@@ -21,16 +21,16 @@
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct NodeSettings {
     pub addr: SocketAddr,
     pub admin: SocketAddr,
     pub domain: Name,
     pub seeds: Vec<SocketAddr>,
-    pub core: usize,
-    pub bear: usize,
-    pub first: bool,
-    pub proof: Span,
-    pub lease: Span,
+    pub core_size: usize,
+    pub tolerated_failures: usize,
+    pub may_found: bool,
+    pub freshness_limit: Span,
+    pub serving_lease: Span,
     pub policy: Policy,
     /// Set where there is a list of runners to be read.
     pub list: Option<ListTiming>,
@@ -45,37 +45,37 @@
     Preempt,
 }
 
-fn me(place: &Place, node: NodeId, role: Role, now: Time) -> LocalNode {
+fn local_node(settings: &NodeSettings, node: NodeId, role: Role, now: Time) -> LocalNode {
     LocalNode {
         node,
         role,
-        domain: place.domain.clone(),
-        addr: place.addr,
-        admin: place.admin,
-        seeds: place.seeds.iter().copied().filter(|s| *s != place.addr).collect(),
-        is_seed: place.seeds.contains(&place.addr),
-        core_size: place.core,
-        tolerated_failures: place.bear,
-        may_found: place.first,
-        freshness_limit: place.proof,
-        serving_lease: place.lease,
+        domain: settings.domain.clone(),
+        addr: settings.addr,
+        admin: settings.admin,
+        seeds: settings.seeds.iter().copied().filter(|s| *s != settings.addr).collect(),
+        is_seed: settings.seeds.contains(&settings.addr),
+        core_size: settings.core_size,
+        tolerated_failures: settings.tolerated_failures,
+        may_found: settings.may_found,
+        freshness_limit: settings.freshness_limit,
+        serving_lease: settings.serving_lease,
         started: now,
     }
 }
 
-pub fn router(place: &Place, now: Time, mut rand: Box<dyn Rand>) -> Node {
-    let mut node = Node::new(me(place, NodeId(rand.next() | 1), Role::Router, now), rand);
+pub fn router(settings: &NodeSettings, now: Time, mut rand: Box<dyn Rand>) -> Node {
+    let mut node = Node::new(local_node(settings, NodeId(rand.next() | 1), Role::Router, now), rand);
     node.add(Box::new(Membership::default()));
     node.add(Box::new(Relay::default()));
     node.add(Box::new(Distribution::new(now)));
     node.add(Box::<crate::rollout::router_reports::RouterReporter>::default());
     node.add(Box::new(crate::placement::placement_client::PlacementClient::default()));
-    node.add(Box::new(QuotaClient::new(place.quota)));
+    node.add(Box::new(QuotaClient::new(settings.quota)));
     node
 }
 
 pub fn controller(
-    place: &Place,
+    settings: &NodeSettings,
     now: Time,
     mut rand: Box<dyn Rand>,
     records: Vec<Record>,
@@ -86,20 +86,20 @@
     });
     let ident = known.unwrap_or_else(|| NodeId(rand.next() | 1));
     let first = if known.is_none() { vec![Record::Ident { node: ident }] } else { vec![] };
-    let mut node = Node::new(me(place, ident, Role::Controller, now), rand);
+    let mut node = Node::new(local_node(settings, ident, Role::Controller, now), rand);
     let chain = Chain::new(ident, records, now);
     node.add(Box::new(Membership::default()));
     node.add(Box::new(chain));
-    node.add(Box::new(ChangeQueue::new(place.protocols.operator.clone())));
+    node.add(Box::new(ChangeQueue::new(settings.protocols.operator.clone())));
     node.add(Box::new(ServingLeases::default()));
-    node.add(Box::new(QuotaOwner::new(place.quota)));
+    node.add(Box::new(QuotaOwner::new(settings.quota)));
     node.add(Box::new(Relay::default()));
     node.add(Box::new(Rollout::default()));
-    let bare_plain = !place.protocols.runner.plain_services_report();
-    let mut duty = Placement::new(now, place.policy);
+    let bare_plain = !settings.protocols.runner.plain_services_report();
+    let mut duty = Placement::new(now, settings.policy);
     duty.has_unpolled_plain_runners = bare_plain;
     node.add(Box::new(duty));
-    if let Some(timing) = place.list {
+    if let Some(timing) = settings.list {
         node.add(Box::new(ListReader::new(now, timing)));
     }
     (node, first)
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -17,17 +17,17 @@
     pub http: Option<SocketAddr>,
     pub domain: Name,
     pub seeds: Vec<SocketAddr>,
-    pub core: usize,
-    pub bear: usize,
-    pub first: bool,
+    pub core_size: usize,
+    pub tolerated_failures: usize,
+    pub may_found: bool,
     pub data: Option<PathBuf>,
     pub drain_ms: u64,
     pub lame_ms: u64,
-    pub proof_ms: u64,
-    pub lease_ms: u64,
+    pub freshness_limit_ms: u64,
+    pub serving_lease_ms: u64,
     pub protocols: Protocols,
     pub quota: QuotaSettings,
-    pub lean: bool,
+    pub is_single_threaded: bool,
 }
 
 const KEYS: [&str; 13] = [
@@ -35,7 +35,7 @@
     "proof_ms", "lease_ms",
 ];
 
-const WORD: &str = "I-KNOW-THE-OTHERS-ARE-LOST";
+const RESTORE_CONFIRMATION: &str = "I-KNOW-THE-OTHERS-ARE-LOST";
 
 pub const HELP: &str = "\
 Settings come from a JSON file (--config FILE), from flags, or from both; a flag wins.
@@ -58,7 +58,7 @@
                       make this copy the whole chain and end; see docs/operators/machines.md
   --help              print this and end";
 
-pub enum Start {
+pub enum StartMode {
     Help,
     Checked,
     Inspect(NodeConfig),
@@ -66,13 +66,14 @@
     Run(NodeConfig),
 }
 
-pub fn from_args(role: Role, mut args: Arguments) -> Result<Start, Vec<Fault>> {
+pub fn from_args(role: Role, mut args: Arguments) -> Result<StartMode, Vec<Fault>> {
     if args.contains(["-h", "--help"]) {
-        return Ok(Start::Help);
+        return Ok(StartMode::Help);
     }
     let check = args.contains("--check");
     let inspect = args.contains("--inspect");
-    let word = args.opt_value_from_str::<_, String>("--restore-as-only").unwrap_or(Some(String::new()));
+    let confirmation =
+        args.opt_value_from_str::<_, String>("--restore-as-only").unwrap_or(Some(String::new()));
     let usage = |place: &str, what: String| vec![Fault::new(Kind::Usage, place, what, "see --help")];
     let mut tree = match args.opt_value_from_str::<_, String>("--config") {
         Err(e) => return Err(usage("--config", e.to_string())),
@@ -116,20 +117,20 @@
         .collect();
     let read = read(role, &tree);
     match read {
-        Ok(_) if word.as_ref().is_some_and(|w| w != WORD) => {
+        Ok(_) if confirmation.as_ref().is_some_and(|w| w != RESTORE_CONFIRMATION) => {
             let what = "is not given with its word".to_string();
             Err(vec![Fault::new(
                 Kind::Usage,
                 "--restore-as-only",
                 what,
-                format!("say {WORD}, if that is so"),
+                format!("say {RESTORE_CONFIRMATION}, if that is so"),
             )])
         }
-        Ok(config) if bad.is_empty() => Ok(match (check, inspect, word) {
-            (true, ..) => Start::Checked,
-            (_, true, _) => Start::Inspect(config),
-            (_, _, Some(_)) => Start::Restore(config),
-            _ => Start::Run(config),
+        Ok(config) if bad.is_empty() => Ok(match (check, inspect, confirmation) {
+            (true, ..) => StartMode::Checked,
+            (_, true, _) => StartMode::Inspect(config),
+            (_, _, Some(_)) => StartMode::Restore(config),
+            _ => StartMode::Run(config),
         }),
         Ok(_) => Err(bad),
         Err(more) => {
@@ -185,9 +186,9 @@
             "give one to three addresses of the fleet's processes",
         );
     }
-    let core = r.num("core", Some(0), 2, 9) as usize;
-    let bear = r.num("bear", Some(1), 0, 4) as usize;
-    let first = r.flag("first", true);
+    let core_size = r.num("core", Some(0), 2, 9) as usize;
+    let tolerated_failures = r.num("bear", Some(1), 0, 4) as usize;
+    let may_found = r.flag("first", true);
     let data = r.take("data").cloned();
     let data = match (data, role) {
         (Some(Tree::Text(t)), Role::Controller) if !t.is_empty() => Some(PathBuf::from(t)),
@@ -203,8 +204,9 @@
     };
     let lame_ms = r.num("lame_ms", Some(0), 0, 600_000);
     let drain_ms = r.num("drain_ms", Some(8000), 0, 600_000);
-    let proof_ms = r.num("proof_ms", Some(2000), 1000, 60_000);
-    let lease_ms = r.num("lease_ms", Some(proof_ms.max(SERVING_LEASE.as_ms())), proof_ms, 120_000);
+    let freshness_limit_ms = r.num("proof_ms", Some(2000), 1000, 60_000);
+    let serving_lease_ms =
+        r.num("lease_ms", Some(freshness_limit_ms.max(SERVING_LEASE.as_ms())), freshness_limit_ms, 120_000);
     if let (Some(a), Some(b)) = (addr, admin)
         && (a == b || http == Some(a) || http == Some(b))
     {
@@ -214,7 +216,7 @@
     match (addr, admin) {
         (Some(addr), Some(admin)) if bad.is_empty() => {
             let domain = Name(domain);
-            let (protocols, lean) = (Protocols::default(), false);
+            let (protocols, is_single_threaded) = (Protocols::default(), false);
             Ok(NodeConfig {
                 role,
                 addr,
@@ -222,17 +224,17 @@
                 http,
                 domain,
                 seeds,
-                core,
-                bear,
-                first,
+                core_size,
+                tolerated_failures,
+                may_found,
                 data,
                 drain_ms,
                 lame_ms,
-                proof_ms,
-                lease_ms,
+                freshness_limit_ms,
+                serving_lease_ms,
                 protocols,
                 quota: QuotaSettings::default(),
-                lean,
+                is_single_threaded,
             })
         }
         _ => Err(bad),
--- a/src/daemon/driver.rs
+++ b/src/daemon/driver.rs
@@ -1,11 +1,11 @@
 //! Drives a node: queues what comes in, feeds it by urgency, ticks in time, and carries out what it asks for.
 
-use super::effects::Run;
+use super::disk_writer::DiskWriter;
+use super::effects::NodeRun;
 use super::input::Input;
-use super::keep::{lanes_line, letter, log_step_times, status};
 use super::links::Links;
+use super::node_io::{deliver, lanes_line, log_step_times, status};
 use super::ticks::Ticks;
-use super::writer::Writer;
 use crate::kernel::fault::Kind;
 use crate::kernel::hold::SyncGate;
 use crate::kernel::input_queue::InputQueue;
@@ -19,8 +19,8 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-const TICK: Span = Span::ms(20);
-const ROUTER_TICK: Span = Span::ms(50);
+const CONTROLLER_TICK_PERIOD: Span = Span::ms(20);
+const ROUTER_TICK_PERIOD: Span = Span::ms(50);
 /// How many urgent inputs are served before their effects are carried out.
 const BATCH: usize = 256;
 /// How long a node that could not be started waits before it is tried again.
@@ -29,26 +29,26 @@
 /// For so long a node is at work before the runtime gets a turn to send and receive.
 pub const WORK_BETWEEN_TURNS: Span = Span::ms(10);
 
-pub type Act = Box<dyn Fn(Effect) + Send>;
+pub type EffectHandler = Box<dyn Fn(Effect) + Send>;
 /// Waits until the runtime has carried out what it was given so far.
-pub type Turn = Box<dyn Fn() + Send>;
-pub type Build = Box<dyn Fn(Vec<Record>) -> (Node, Vec<Record>) + Send>;
+pub type RuntimeTurn = Box<dyn Fn() + Send>;
+pub type NodeBuilder = Box<dyn Fn(Vec<Record>) -> (Node, Vec<Record>) + Send>;
 
 pub struct Driver {
     pub clock: Arc<dyn Clock>,
     pub links: Arc<Links>,
-    pub disk: Option<Writer>,
-    pub build: Build,
-    pub act: Act,
+    pub disk: Option<DiskWriter>,
+    pub build: NodeBuilder,
+    pub act: EffectHandler,
     /// Threads may share one core: a node that is never idle would keep its own messages from leaving without it.
-    pub turn: Turn,
+    pub turn: RuntimeTurn,
 }
 
 impl Driver {
     /// A node as its disk tells, and the damaged files that were set aside.
-    fn fresh(&self) -> Result<(Node, Option<String>), String> {
+    fn load_node(&self) -> Result<(Node, Option<String>), String> {
         let (mut records, mut set_aside) = (Vec::new(), None);
-        let mut disk = self.disk.as_ref().map(Writer::renew);
+        let mut disk = self.disk.as_ref().map(DiskWriter::start_incarnation);
         if let Some(disk) = &mut disk {
             records = match disk.load() {
                 Ok(rows) => rows,
@@ -71,48 +71,50 @@
 
     /// Runs the node until it is told to stop.
     pub fn run(self, rx: Receiver<Input>) {
-        let mut run: Option<Run> = None;
+        let mut current: Option<NodeRun> = None;
         let mut queue = InputQueue::default();
-        let mut ticks = Ticks::new(if self.disk.is_some() { TICK } else { ROUTER_TICK });
-        let mut turn_due = self.clock.now() + WORK_BETWEEN_TURNS;
+        let mut ticks =
+            Ticks::new(if self.disk.is_some() { CONTROLLER_TICK_PERIOD } else { ROUTER_TICK_PERIOD });
+        let mut turn_due_at = self.clock.now() + WORK_BETWEEN_TURNS;
         loop {
-            let Some(r) = &mut run else {
-                run = self.begin();
-                if run.is_none() && !pause(&rx) {
+            let Some(run) = &mut current else {
+                current = self.start_node();
+                if current.is_none() && !wait_for_restart(&rx) {
                     return;
                 }
                 continue;
             };
-            let idle = queue.is_empty() && r.own.is_empty();
+            let idle = queue.is_empty() && run.to_self.is_empty();
             let wait = if idle { ticks.wait(self.clock.now()) } else { Duration::ZERO };
             if !self.receive(&rx, wait, &mut queue) {
                 return;
             }
             if !wait.is_zero() {
-                turn_due = self.clock.now() + WORK_BETWEEN_TURNS;
+                turn_due_at = self.clock.now() + WORK_BETWEEN_TURNS;
             }
-            if !self.step(r, &mut queue, &mut ticks, turn_due) {
-                run = None;
+            if !self.step(run, &mut queue, &mut ticks, turn_due_at) {
+                current = None;
             }
-            if self.clock.now() >= turn_due {
+            if self.clock.now() >= turn_due_at {
                 (self.turn)();
-                turn_due = self.clock.now() + WORK_BETWEEN_TURNS;
+                turn_due_at = self.clock.now() + WORK_BETWEEN_TURNS;
             }
         }
     }
 
-    fn begin(&self) -> Option<Run> {
-        let (mut node, set_aside) = match self.fresh() {
-            Ok(fresh) => fresh,
+    fn start_node(&self) -> Option<NodeRun> {
+        let (mut node, set_aside) = match self.load_node() {
+            Ok(loaded) => loaded,
             Err(why) => {
                 log::error!(event = "node-not-started", fault = why; "");
                 return None;
             }
         };
         let out = node.feed(self.clock.now(), Event::Start);
-        let (asks, own) = (BTreeMap::new(), VecDeque::new());
-        let mut r = Run { node, asks, own, shown: 0, hold: SyncGate::default(), set_aside };
-        self.carry(&mut r, out).then_some(r)
+        let (waiting_callers, to_self) = (BTreeMap::new(), VecDeque::new());
+        let mut run =
+            NodeRun { node, waiting_callers, to_self, logged_up_to: 0, hold: SyncGate::default(), set_aside };
+        self.apply_effects(&mut run, out).then_some(run)
     }
 
     /// Queues all that has come in, and waits for the first of it if need be; false once the node is to stop.
@@ -134,59 +136,65 @@
 
     /// Serves urgent inputs, at most one of the duty's or the routers', and the tick if it is due; whether the node
     /// goes on.
-    fn step(&self, r: &mut Run, queue: &mut InputQueue<Input>, ticks: &mut Ticks, turn_due: Time) -> bool {
-        self.observe_disk(r);
+    fn step(
+        &self,
+        run: &mut NodeRun,
+        queue: &mut InputQueue<Input>,
+        ticks: &mut Ticks,
+        turn_due_at: Time,
+    ) -> bool {
+        self.update_disk_state(run);
         let mut out = Vec::new();
         let mut done = Vec::new();
-        let mut events = r.own.len();
-        for ev in std::mem::take(&mut r.own) {
-            out.extend(r.node.feed(self.clock.now(), ev));
+        let mut events = run.to_self.len();
+        for event in std::mem::take(&mut run.to_self) {
+            out.extend(run.node.feed(self.clock.now(), event));
         }
         for _ in 0..BATCH {
             let now = self.clock.now();
             let Some(next) = queue.pop(now) else { break };
             events += 1;
             match next.item {
-                Input::Synced { life, upto } => done.extend(self.synced(r, life, upto)),
-                Input::Status(tx) => drop(tx.send(status(r, queue, now).to_string())),
-                input => out.extend(serve(r, now, input)),
+                Input::Synced { incarnation, up_to } => done.extend(self.synced(run, incarnation, up_to)),
+                Input::Status(tx) => drop(tx.send(status(run, queue, now).to_string())),
+                input => out.extend(handle_input(run, now, input)),
             }
             let now = self.clock.now();
-            if next.lane >= Lane::Duty || ticks.is_overdue(now) || now >= turn_due {
+            if next.lane >= Lane::Duty || ticks.is_overdue(now) || now >= turn_due_at {
                 break;
             }
         }
         let now = self.clock.now();
         if ticks.is_due(now, events) {
-            out.extend(r.node.feed(now, Event::Tick));
+            out.extend(run.node.feed(now, Event::Tick));
             let work = Input::Event(Event::DutyTick);
             queue.add(now, work.class(), work);
             ticks.done(self.clock.now());
-            self.log_figures(r, queue, now);
+            self.log_interval(run, queue, now);
         }
         let began = self.clock.now();
-        let goes_on = self.act_all(r, done) && self.carry(r, out);
-        if let Some(times) = &mut r.node.step_times {
+        let continues = self.carry_out(run, done) && self.apply_effects(run, out);
+        if let Some(times) = &mut run.node.step_times {
             times.outside("effects", began);
         }
-        goes_on
+        continues
     }
 
-    fn observe_disk(&self, r: &mut Run) {
+    fn update_disk_state(&self, run: &mut NodeRun) {
         let Some(disk) = &self.disk else { return };
         let now = self.clock.now();
-        r.node.free_disk_bytes = disk.room();
-        r.node.is_disk_slow = r.hold.is_slow(now);
-        r.node.is_write_stuck = r.hold.is_stuck(now);
+        run.node.free_disk_bytes = disk.free_bytes();
+        run.node.is_disk_slow = run.hold.is_slow(now);
+        run.node.is_write_stuck = run.hold.is_stuck(now);
     }
 
-    fn synced(&self, r: &mut Run, life: u64, upto: u64) -> Vec<Effect> {
-        let current = self.disk.as_ref().is_some_and(|d| d.life() == life);
-        if current { r.hold.release_synced(self.clock.now(), upto) } else { vec![] }
+    fn synced(&self, run: &mut NodeRun, incarnation: u64, up_to: u64) -> Vec<Effect> {
+        let is_current = self.disk.as_ref().is_some_and(|d| d.incarnation() == incarnation);
+        if is_current { run.hold.release_synced(self.clock.now(), up_to) } else { vec![] }
     }
 
-    fn log_figures(&self, r: &mut Run, queue: &mut InputQueue<Input>, now: Time) {
-        if log_step_times(&mut r.node, now) {
+    fn log_interval(&self, run: &mut NodeRun, queue: &mut InputQueue<Input>, now: Time) {
+        if log_step_times(&mut run.node, now) {
             let lanes = lanes_line(queue, now);
             queue.new_interval();
             let (sent, got) = self.links.traffic.take();
@@ -196,23 +204,23 @@
 }
 
 /// Waits before the node is started again; inputs that came meanwhile are lost. False once it is to stop.
-fn pause(rx: &Receiver<Input>) -> bool {
+fn wait_for_restart(rx: &Receiver<Input>) -> bool {
     std::thread::sleep(RESTART_PAUSE);
     !rx.try_iter().any(|input| matches!(input, Input::Stop))
 }
 
-fn serve(r: &mut Run, now: Time, input: Input) -> Vec<Effect> {
+fn handle_input(run: &mut NodeRun, now: Time, input: Input) -> Vec<Effect> {
     match input {
-        Input::Event(ev) => r.node.feed(now, ev),
-        Input::Envelope(l) => letter(&mut r.node, now, *l),
-        Input::Ask(id, ev, tx) => {
-            r.asks.entry(id).or_default().push(tx);
-            r.node.feed(now, ev)
+        Input::Event(event) => run.node.feed(now, event),
+        Input::Envelope(envelope) => deliver(&mut run.node, now, *envelope),
+        Input::Ask(id, event, tx) => {
+            run.waiting_callers.entry(id).or_default().push(tx);
+            run.node.feed(now, event)
         }
         Input::Seeds(seeds) => {
-            let own = r.node.me.addr;
-            r.node.me.is_seed = seeds.contains(&own);
-            r.node.me.seeds = seeds.into_iter().filter(|s| *s != own).collect();
+            let own_addr = run.node.me.addr;
+            run.node.me.is_seed = seeds.contains(&own_addr);
+            run.node.me.seeds = seeds.into_iter().filter(|s| *s != own_addr).collect();
             vec![]
         }
         Input::Stop | Input::Synced { .. } | Input::Status(_) => vec![],
--- a/src/daemon/input.rs
+++ b/src/daemon/input.rs
@@ -13,7 +13,7 @@
     Ask(ChangeId, Event, oneshot::Sender<Answer>),
     Status(oneshot::Sender<String>),
     Seeds(Vec<SocketAddr>),
-    Synced { life: u64, upto: u64 },
+    Synced { incarnation: u64, up_to: u64 },
     Stop,
 }
 
@@ -30,26 +30,26 @@
 }
 
 #[derive(Clone)]
-pub struct Hand {
+pub struct NodeHandle {
     pub tx: Sender<Input>,
 }
 
-impl Hand {
-    pub fn feed(&self, ev: Event) {
-        let _ = self.tx.send(Input::Event(ev));
+impl NodeHandle {
+    pub fn send(&self, event: Event) {
+        let _ = self.tx.send(Input::Event(event));
     }
 
-    pub async fn ask(&self, id: ChangeId, ev: Event) -> Answer {
+    pub async fn ask(&self, id: ChangeId, event: Event) -> Answer {
         let (tx, rx) = oneshot::channel();
-        let write = matches!(ev, Event::OperatorCall { .. });
+        let is_change = matches!(event, Event::OperatorCall { .. });
         let text =
             format!("this node stopped; the change may still be taken, ask with: spindledock change {id}");
-        let sent = self.tx.send(Input::Ask(id, ev, tx)).is_ok();
-        let dflt = || match write && sent {
+        let sent = self.tx.send(Input::Ask(id, event, tx)).is_ok();
+        let fallback = || match is_change && sent {
             true => Answer::new(504, "outcome-unknown", &text, 2),
             false => Answer::new(503, "stopping", "this node is stopping; ask another", 1),
         };
-        rx.await.unwrap_or_else(|_| dflt())
+        rx.await.unwrap_or_else(|_| fallback())
     }
 
     pub async fn status(&self) -> String {
--- a/src/daemon/serve.rs
+++ b/src/daemon/listener.rs
@@ -1,6 +1,6 @@
 //! Listening for HTTP/1.1: callers of this node's admin address, and clients within the configured limits.
 
-use crate::http::answer::{OutBody, too_slow};
+use crate::http::answer::{AnswerBody, timeout_answer};
 use crate::http::client::{ClientConnection, ClientConnections};
 use crate::http::client_stream::ClientStream;
 use crate::http::served_body::ServedBody;
@@ -21,9 +21,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// The work of answering one request.
-pub type Work = Pin<Box<dyn Future<Output = Response<OutBody>> + Send>>;
+pub type AnswerFuture = Pin<Box<dyn Future<Output = Response<AnswerBody>> + Send>>;
 /// What answers the requests of a listener.
-pub type Serve = Arc<dyn Fn(Request<Incoming>) -> Work + Send + Sync>;
+pub type RequestHandler = Arc<dyn Fn(Request<Incoming>) -> AnswerFuture + Send + Sync>;
 
 /// How long a head may take at the admin address.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
@@ -48,14 +48,14 @@
 }
 
 /// Answers the callers of an admin address.
-pub async fn serve(socket: TcpListener, work: Serve) {
+pub async fn serve_admin(socket: TcpListener, handler: RequestHandler) {
     loop {
         let tcp = accept(&socket).await;
-        let work = work.clone();
+        let handler = handler.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let work = work(request);
-                async move { Ok::<_, Infallible>(work.await) }
+                let handler = handler(request);
+                async move { Ok::<_, Infallible>(handler.await) }
             });
             let mut http = http1::Builder::new();
             http.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT);
@@ -65,32 +65,32 @@
 }
 
 /// Answers clients, within the limits that `clients` knows.
-pub async fn serve_clients(socket: TcpListener, work: Serve, clients: Arc<ClientConnections>) {
+pub async fn serve_clients(socket: TcpListener, handler: RequestHandler, clients: Arc<ClientConnections>) {
     loop {
         let tcp = accept(&socket).await;
-        tokio::spawn(serve_client(tcp, work.clone(), clients.add()));
+        tokio::spawn(serve_client(tcp, handler.clone(), clients.add()));
     }
 }
 
-async fn serve_client(tcp: TcpStream, work: Serve, connection: Arc<ClientConnection>) {
+async fn serve_client(tcp: TcpStream, handler: RequestHandler, connection: Arc<ClientConnection>) {
     let mut http = http1::Builder::new();
     http.max_buf_size(connection.head_buffer());
     let io = TokioIo::new(ClientStream::new(tcp, connection.clone()));
-    let service = service_fn(move |request| answer(request, work.clone(), connection.clone()));
+    let service = service_fn(move |request| answer(request, handler.clone(), connection.clone()));
     let _ = http.serve_connection(io, service).await;
 }
 
 async fn answer(
     request: Request<Incoming>,
-    work: Serve,
+    handler: RequestHandler,
     connection: Arc<ClientConnection>,
 ) -> Result<Response<ServedBody>, Infallible> {
     if request.version() == Version::HTTP_10 {
-        connection.ends_by_close();
+        connection.set_ended_by_close();
     }
-    let mut response = match connection.begin() {
-        true => work(request).await,
-        false => too_slow(),
+    let mut response = match connection.begin_request() {
+        true => handler(request).await,
+        false => timeout_answer(),
     };
     if connection.is_outgrown() {
         response.headers_mut().insert("connection", HeaderValue::from_static("close"));
--- a/src/daemon/keep.rs
+++ b/src/daemon/node_io.rs
@@ -1,4 +1,4 @@
-use super::effects::Run;
+use super::effects::NodeRun;
 use super::input::Input;
 use crate::json::tree::{Tree, map};
 use crate::kernel::input_queue::{InputQueue, LaneState};
@@ -7,17 +7,17 @@
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
 
-pub fn letter(node: &mut Node, now: Time, l: Envelope) -> Vec<Effect> {
-    let mine = node.views.fleet;
-    let other = mine.0 != 0 && l.fleet.0 != 0 && mine != l.fleet;
-    if other || (l.to.0 != 0 && l.to != node.me.node) {
+pub fn deliver(node: &mut Node, now: Time, envelope: Envelope) -> Vec<Effect> {
+    let own_fleet = node.views.fleet;
+    let is_other_fleet = own_fleet.0 != 0 && envelope.fleet.0 != 0 && own_fleet != envelope.fleet;
+    if is_other_fleet || (envelope.to.0 != 0 && envelope.to != node.me.node) {
         return vec![];
     }
-    node.feed(now, Event::Message { from: l.from, fleet: l.fleet, msg: l.msg })
+    node.feed(now, Event::Message { from: envelope.from, fleet: envelope.fleet, msg: envelope.msg })
 }
 
-pub fn show(node: &Node, shown: &mut u64) {
-    let at = *shown;
+pub fn log_journal(node: &Node, logged_up_to: &mut u64) {
+    let at = *logged_up_to;
     for (_, _, note) in node.journal.since(at) {
         match note {
             JournalEvent::Text(what, text) => log::info!(event = *what, note = text.clone(); ""),
@@ -25,11 +25,11 @@
             _ => {}
         }
     }
-    *shown = node.journal.len();
+    *logged_up_to = node.journal.len();
 }
 
 /// What the node of this process tells of itself, its disk and its inputs.
-pub(super) fn status(run: &Run, queue: &InputQueue<Input>, now: Time) -> Tree {
+pub(super) fn status(run: &NodeRun, queue: &InputQueue<Input>, now: Time) -> Tree {
     let mut all = node_status(&run.node, now);
     if let Some(kept) = &run.set_aside {
         all.merge(map(&[("disk", map(&[("damaged_log_kept_as", kept.as_str().into())]))]));
--- a/src/daemon/restore.rs
+++ b/src/daemon/restore.rs
@@ -3,8 +3,8 @@
 use crate::kernel::disk::{Disk, LogFile};
 use std::process::ExitCode;
 
-pub fn tell(c: &NodeConfig, write: bool) -> ExitCode {
-    match work(c, write) {
+pub fn run(config: &NodeConfig, write: bool) -> ExitCode {
+    match inspect_or_restore(config, write) {
         Ok(text) => {
             println!("{text}");
             0.into()
@@ -16,8 +16,8 @@
     }
 }
 
-fn work(c: &NodeConfig, write: bool) -> Result<String, String> {
-    let dir = c.data.as_ref().ok_or("only a controller has a data folder; run this there")?;
+fn inspect_or_restore(config: &NodeConfig, write: bool) -> Result<String, String> {
+    let dir = config.data.as_ref().ok_or("only a controller has a data folder; run this there")?;
     let mut disk = LogFile::open(dir).map_err(|f| f.to_string())?;
     let records = disk.load().map_err(|f| f.to_string())?;
     let copy = inspect_records(&records);
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,18 +1,18 @@
-use super::assemble::{Place, controller, router};
-use super::config::{HELP, NodeConfig, Start};
+use super::assemble::{NodeSettings, controller, router};
+use super::config::{HELP, NodeConfig, StartMode};
+use super::disk_writer::DiskWriter;
 use super::driver::Driver;
-use super::input::{Hand, Input};
+use super::input::{Input, NodeHandle};
 use super::links::Links;
-use super::reload::Origin;
-use super::serve::{Work, bind, serve_clients};
+use super::listener::{AnswerFuture, bind, serve_clients};
+use super::reload::SettingsSource;
 use super::signals::Signals;
-use super::writer::Writer;
-use super::{logs, poll};
+use super::{logs, runner_calls};
 use crate::chain::leaving::Departure;
 use crate::gate::Table;
 use crate::http::client::ClientConnections;
 use crate::http::pool::Pool;
-use crate::http::serve::Front;
+use crate::http::request_service::RequestService;
 use crate::kernel::disk::LogFile;
 use crate::kernel::fault::{Fault, Kind};
 use crate::kernel::rand::OsRandom;
@@ -32,19 +32,19 @@
 
 pub fn main(role: Role) -> std::process::ExitCode {
     let name = if role == Role::Router { "spindledock-router" } else { "spindledock-controller" };
-    let origin = Origin::new(role, pico_args::Arguments::from_env());
-    let config = match (origin.read)() {
-        Ok(Start::Help) => {
+    let source = SettingsSource::new(role, pico_args::Arguments::from_env());
+    let config = match (source.read)() {
+        Ok(StartMode::Help) => {
             println!("{name}: one node of a spindledock fleet\n\n{HELP}");
             return 0.into();
         }
-        Ok(Start::Checked) => {
+        Ok(StartMode::Checked) => {
             println!("settings are fine");
             return 0.into();
         }
-        Ok(Start::Inspect(config)) => return super::restore::tell(&config, false),
-        Ok(Start::Restore(config)) => return super::restore::tell(&config, true),
-        Ok(Start::Run(config)) => config,
+        Ok(StartMode::Inspect(config)) => return super::restore::run(&config, false),
+        Ok(StartMode::Restore(config)) => return super::restore::run(&config, true),
+        Ok(StartMode::Run(config)) => config,
         Err(bad) => {
             for f in &bad {
                 eprintln!("{name}: {f}");
@@ -55,12 +55,12 @@
     };
     logs::start();
     super::panics::end_process_on_panic();
-    let rt = match config.lean {
+    let rt = match config.is_single_threaded {
         true => tokio::runtime::Builder::new_current_thread().enable_all().build(),
         false => tokio::runtime::Builder::new_multi_thread().enable_all().build(),
     };
     let rt = rt.expect("the machine must let this process start threads");
-    match rt.block_on(run(config, origin)) {
+    match rt.block_on(run(config, source)) {
         Ok(()) => 0.into(),
         Err(e) => {
             eprintln!("{name}: {e:?}");
@@ -69,17 +69,17 @@
     }
 }
 
-pub fn place(c: &NodeConfig) -> Place {
-    Place {
+pub fn node_settings(c: &NodeConfig) -> NodeSettings {
+    NodeSettings {
         addr: c.addr,
         admin: c.admin,
         domain: c.domain.clone(),
         seeds: c.seeds.clone(),
-        core: c.core,
-        bear: c.bear,
-        first: c.first,
-        proof: Span::ms(c.proof_ms),
-        lease: Span::ms(c.lease_ms),
+        core_size: c.core_size,
+        tolerated_failures: c.tolerated_failures,
+        may_found: c.may_found,
+        freshness_limit: Span::ms(c.freshness_limit_ms),
+        serving_lease: Span::ms(c.serving_lease_ms),
         policy: super::assemble::Policy::Move,
         list: c.protocols.list.as_ref().map(|list| list.timing()),
         protocols: c.protocols.clone(),
@@ -87,7 +87,7 @@
     }
 }
 
-async fn run(c: NodeConfig, origin: Origin) -> Result<(), Report<Fault>> {
+async fn run(c: NodeConfig, source: SettingsSource) -> Result<(), Report<Fault>> {
     let mut signals = Signals::catch();
     let start = || Fault::new(Kind::Config, "start", "this node did not start", "mend the cause below");
     let links_socket = bind(c.addr, "address").await.change_context_lazy(start)?;
@@ -99,26 +99,27 @@
     let (tx, rx) = mpsc::channel();
     let file = c.data.as_ref().map(|dir| LogFile::open(dir));
     let file = file.transpose().map_err(Report::new).change_context_lazy(start)?;
-    let disk = file.map(|d| Writer::start(Box::new(d), tx.clone()));
+    let disk = file.map(|d| DiskWriter::start(Box::new(d), tx.clone()));
     let clock: Arc<dyn Clock> = Arc::new(BootClock);
     let services = Arc::new(Registry::default());
     let links = Links::new(tokio::runtime::Handle::current());
     let table = Arc::new(match c.protocols.runner.plain_services_report() {
-        true => Table::new(c.domain.clone(), Span::ms(c.proof_ms)),
-        false => Table::bare(c.domain.clone(), Span::ms(c.proof_ms)),
+        true => Table::new(c.domain.clone(), Span::ms(c.freshness_limit_ms)),
+        false => Table::bare(c.domain.clone(), Span::ms(c.freshness_limit_ms)),
     });
     services.add(links.clone());
     services.add(table.clone());
     let pool = Arc::new(Pool::default());
-    let hand = Hand { tx: tx.clone() };
+    let node = NodeHandle { tx: tx.clone() };
     let routers = Arc::new(AtomicU64::new(1));
     let runners: Runners = Arc::default();
     let fit = Arc::new(AtomicBool::new(false));
-    let list = super::roster::Roster::new(&c.protocols, pool.clone(), hand.clone(), clock.clone());
+    let list =
+        super::runner_list_poller::RunnerListPoller::new(&c.protocols, pool.clone(), node.clone(), clock.clone());
     let departure: Arc<Mutex<Departure>> = Arc::default();
     let flags = (&runners, &fit, &departure);
-    let act = act(&table, &clock, &pool, &hand, &routers, flags, (&c.protocols, list));
-    let (spot, role, ticks) = (place(&c), c.role, clock.clone());
+    let act = act(&table, &clock, &pool, &node, &routers, flags, (&c.protocols, list));
+    let (spot, role, ticks) = (node_settings(&c), c.role, clock.clone());
     let build = Box::new(move |records| {
         let now = ticks.now();
         match role {
@@ -127,7 +128,7 @@
         }
     });
     let sender = links.clone();
-    let turn = Box::new(move || sender.give_turn());
+    let turn = Box::new(move || sender.wait_for_runtime());
     let driver = Driver { clock: clock.clone(), links: links.clone(), disk, build, act, turn };
     let thread = std::thread::Builder::new().name("node".into()).spawn(move || driver.run(rx));
     let thread = thread.expect("the machine must let this process start threads");
@@ -135,36 +136,36 @@
     let take = Arc::new(move |l: Envelope| drop(inbox.lock().unwrap().send(Input::Envelope(Box::new(l)))));
     tokio::spawn(links.clone().listen(links_socket, take));
     let stopping = Arc::new(AtomicBool::new(false));
-    let front = Arc::new(Front {
+    let front = Arc::new(RequestService {
         table: table.clone(),
         pool: pool.clone(),
         clock: clock.clone(),
-        leaving: AtomicBool::new(false),
-        stopping: AtomicBool::new(false),
-        next: AtomicU64::new(1),
-        open: AtomicU64::new(0),
-        seen: Default::default(),
+        is_leaving: AtomicBool::new(false),
+        is_stopping: AtomicBool::new(false),
+        next_id: AtomicU64::new(1),
+        open_requests: AtomicU64::new(0),
+        recent: Default::default(),
         clients: ClientConnections::new(clock.clone()),
         protocols: c.protocols.clone(),
     });
-    super::status::admin(&c, &hand, &front, &links, (stopping.clone(), fit), admin_socket);
+    super::status::serve_admin_api(&c, &node, &front, &links, (stopping.clone(), fit), admin_socket);
     if let Some(socket) = http_socket {
         let (front, clients) = (front.clone(), front.clients.clone());
-        let work = Arc::new(move |order| Box::pin(front.clone().answer(order)) as Work);
+        let work = Arc::new(move |order| Box::pin(front.clone().answer(order)) as AnswerFuture);
         tokio::spawn(serve_clients(socket, work, clients));
     }
     if c.role == Role::Router {
-        router_tasks(&table, &clock, &hand, &front, &routers);
+        router_tasks(&table, &clock, &node, &front, &routers);
     }
     log::info!(event = "started", address = c.addr.to_string(), admin = c.admin.to_string(), domain = c.domain.to_string(), services = services.names().join(","); "");
-    tokio::spawn(super::reload::watch(origin, c.clone(), hand.clone(), signals.hang_up));
+    tokio::spawn(super::reload::watch(source, c.clone(), node.clone(), signals.hang_up));
     tokio::select! {
         _ = signals.terminate.recv() => {}
         _ = signals.interrupt.recv() => {}
     }
     stopping.store(true, Ordering::SeqCst);
     let (drain, lame) = (Span::ms(c.drain_ms), Duration::from_millis(c.lame_ms));
-    let stop = super::stop::Stop { role: c.role, drain, lame, front, table, clock, hand, departure };
+    let stop = super::stop::Shutdown { role: c.role, drain, lame, front, table, clock, node, departure };
     stop.run().await;
     let _ = tx.send(Input::Stop);
     let _ = thread.join();
@@ -175,13 +176,13 @@
     table: &Arc<Table>,
     clock: &Arc<dyn Clock>,
     pool: &Arc<Pool>,
-    hand: &Hand,
+    node: &NodeHandle,
     routers: &Arc<AtomicU64>,
     (runners, fit, departure): (&Runners, &Arc<AtomicBool>, &Arc<Mutex<Departure>>),
-    (protocols, list): (&Protocols, Option<Arc<super::roster::Roster>>),
-) -> super::driver::Act {
-    let (table, clock, pool, hand, routers) =
-        (table.clone(), clock.clone(), pool.clone(), hand.clone(), routers.clone());
+    (protocols, list): (&Protocols, Option<Arc<super::runner_list_poller::RunnerListPoller>>),
+) -> super::driver::EffectHandler {
+    let (table, clock, pool, node, routers) =
+        (table.clone(), clock.clone(), pool.clone(), node.clone(), routers.clone());
     let (runners, fit, side) = (runners.clone(), fit.clone(), protocols.runner.clone());
     let departure = departure.clone();
     let rt = tokio::runtime::Handle::current();
@@ -191,26 +192,26 @@
         Effect::RunnerLeaving(name) => table.mark(clock.now(), &name),
         Effect::RouterCount(n) => routers.store(n, Ordering::SeqCst),
         Effect::PollRunners(list) => *runners.lock().unwrap() = list,
-        Effect::HoldsDuty(on) => drop(list.as_ref().map(|l| l.switch(on))),
+        Effect::HoldsDuty(on) => drop(list.as_ref().map(|l| l.set_enabled(on))),
         Effect::ReadList => drop(list.as_ref().map(|l| l.read_now())),
         Effect::Holdings(rows) => table.held(clock.now(), &rows),
         Effect::QuotaGranted(grants) => table.quota.lock().unwrap().granted(clock.now(), &grants),
         Effect::PollRunner(name) => {
             let found = runners.lock().unwrap().iter().find(|r| r.instance == name).cloned();
             let Some(r) = found else { return };
-            let (pool, hand, side) = (pool.clone(), hand.clone(), side.clone());
+            let (pool, node, side) = (pool.clone(), node.clone(), side.clone());
             rt.spawn(async move {
-                let report = poll::report(&pool, &*side, &r).await;
-                hand.feed(Event::RunnerReport { instance: r.instance, report });
+                let report = runner_calls::fetch_report(&pool, &*side, &r).await;
+                node.send(Event::RunnerReport { instance: r.instance, report });
             });
         }
         Effect::Ready(ready) => fit.store(ready, Ordering::SeqCst),
         Effect::Leaving(now) => *departure.lock().unwrap() = now,
         Effect::OrderRunner(order) => {
-            let (pool, clock, hand, side) = (pool.clone(), clock.clone(), hand.clone(), side.clone());
+            let (pool, clock, node, side) = (pool.clone(), clock.clone(), node.clone(), side.clone());
             rt.spawn(async move {
-                let status = poll::drive(&pool, &*side, clock, &order).await;
-                hand.feed(Event::OrderAnswered { order: order.order, status });
+                let status = runner_calls::send_order(&pool, &*side, clock, &order).await;
+                node.send(Event::OrderAnswered { order: order.order, status });
             });
         }
         _ => {}
@@ -220,18 +221,18 @@
 fn router_tasks(
     table: &Arc<Table>,
     clock: &Arc<dyn Clock>,
-    hand: &Hand,
-    front: &Arc<Front>,
+    node: &NodeHandle,
+    front: &Arc<RequestService>,
     routers: &Arc<AtomicU64>,
 ) {
-    let inbox = Mutex::new(hand.clone());
-    table.on_want(Arc::new(move |want| inbox.lock().unwrap().feed(Event::NameWanted(want))));
-    let inbox = Mutex::new(hand.clone());
-    let asker = move |demand| inbox.lock().unwrap().feed(Event::QuotaWanted(demand));
+    let inbox = Mutex::new(node.clone());
+    table.on_want(Arc::new(move |want| inbox.lock().unwrap().send(Event::NameWanted(want))));
+    let inbox = Mutex::new(node.clone());
+    let asker = move |demand| inbox.lock().unwrap().send(Event::QuotaWanted(demand));
     table.quota.lock().unwrap().on_wanted(Arc::new(asker));
-    let seen = front.clone();
-    let seen = Arc::new(move || seen.seen.rows());
-    tokio::spawn(poll::tells(table.clone(), clock.clone(), seen, hand.clone()));
+    let service = front.clone();
+    let recent = Arc::new(move || service.recent.rows());
+    tokio::spawn(runner_calls::publish_router_state(table.clone(), clock.clone(), recent, node.clone()));
     let (table, clock, routers, front) = (table.clone(), clock.clone(), routers.clone(), front.clone());
     tokio::spawn(async move {
         let mut tick = tokio::time::interval(Duration::from_millis(100));
--- a/src/daemon/roster.rs
+++ b/src/daemon/runner_list_poller.rs
@@ -1,76 +1,83 @@
-use super::input::Hand;
+use super::input::NodeHandle;
 use crate::fleet::runner::Runner;
-use crate::http::pool::{Pool, open};
+use crate::http::pool::{Pool, always_allowed};
 use crate::kernel::time::Clock;
 use crate::msg::Event;
-use crate::protocol::{Protocols, RunnerListProtocol};
 use crate::runner_list::messages::RunnerListing;
+use crate::protocol::{RunnerListProtocol, Protocols};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use tokio::sync::Notify;
 
-const DUE: Duration = Duration::from_millis(1500);
-const PAGES: usize = 64;
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1500);
+const PAGES_MAX: usize = 64;
 
 /// Asks for the list of runners: again and again while this node holds the duty to, else when it is told to.
-pub struct Roster {
+pub struct RunnerListPoller {
     side: Arc<dyn RunnerListProtocol>,
     pool: Arc<Pool>,
-    hand: Hand,
+    node: NodeHandle,
     clock: Arc<dyn Clock>,
-    on: AtomicBool,
-    wanted: Notify,
+    is_enabled: AtomicBool,
+    read_requested: Notify,
 }
 
-impl Roster {
+impl RunnerListPoller {
     pub fn new(
         protocols: &Protocols,
         pool: Arc<Pool>,
-        hand: Hand,
+        node: NodeHandle,
         clock: Arc<dyn Clock>,
-    ) -> Option<Arc<Roster>> {
+    ) -> Option<Arc<RunnerListPoller>> {
         let side = protocols.list.clone()?;
-        let r =
-            Arc::new(Roster { side, pool, hand, clock, on: AtomicBool::new(false), wanted: Notify::new() });
+        let r = Arc::new(RunnerListPoller {
+            side,
+            pool,
+            node,
+            clock,
+            is_enabled: AtomicBool::new(false),
+            read_requested: Notify::new(),
+        });
         tokio::spawn(r.clone().run());
         Some(r)
     }
 
-    pub fn switch(&self, on: bool) {
-        self.on.store(on, Ordering::SeqCst);
+    pub fn set_enabled(&self, is_enabled: bool) {
+        self.is_enabled.store(is_enabled, Ordering::SeqCst);
     }
 
     /// Reads the list once, soon.
     pub fn read_now(&self) {
-        self.wanted.notify_one();
+        self.read_requested.notify_one();
     }
 
-    async fn run(self: Arc<Roster>) {
+    async fn run(self: Arc<RunnerListPoller>) {
         let mut tick = tokio::time::interval(self.side.pause());
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = tick.tick() => {
-                    if !self.on.load(Ordering::SeqCst) {
+                    if !self.is_enabled.load(Ordering::SeqCst) {
                         continue;
                     }
                 }
-                _ = self.wanted.notified() => {}
+                _ = self.read_requested.notified() => {}
             }
             let asked = self.clock.now();
-            if let Some(runners) = self.whole().await {
-                self.hand.feed(Event::RunnersListed(RunnerListing { runners, requested_at: asked }));
+            if let Some(runners) = self.read_all_pages().await {
+                self.node.send(Event::RunnersListed(RunnerListing { runners, requested_at: asked }));
             }
         }
     }
 
-    async fn whole(&self) -> Option<Vec<Runner>> {
+    async fn read_all_pages(&self) -> Option<Vec<Runner>> {
         let mut all = Vec::new();
         let mut page = None;
-        for _ in 0..PAGES {
+        for _ in 0..PAGES_MAX {
             let call = self.side.ask(page.as_deref());
-            let (status, body) = self.pool.whole(self.side.addr(), call, DUE, open()).await.ok()?;
+            let (status, body) =
+                self.pool.fetch(self.side.addr(), call, PAGE_TIMEOUT, always_allowed()).await.ok()?;
             if status != 200 {
                 log::warn!(event = "list-refused", status = status; "");
                 return None;
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -1,10 +1,10 @@
 use super::config::NodeConfig;
-use super::input::Hand;
+use super::input::NodeHandle;
 use super::links::Links;
-use super::serve::serve;
+use super::listener::serve_admin;
 use crate::gate::Table;
-use crate::http::admin::ChangeQueue;
-use crate::http::serve::Front;
+use crate::http::admin::AdminApi;
+use crate::http::request_service::RequestService;
 use crate::kernel::time::Time;
 use crate::msg::Role;
 use std::fmt::Write;
@@ -12,22 +12,22 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::net::TcpListener;
 
-pub fn admin(
-    c: &NodeConfig,
-    hand: &Hand,
-    front: &Arc<Front>,
+pub fn serve_admin_api(
+    config: &NodeConfig,
+    node: &NodeHandle,
+    front: &Arc<RequestService>,
     links: &Arc<Links>,
     flags: (Arc<AtomicBool>, Arc<AtomicBool>),
     socket: TcpListener,
 ) {
-    let (role, f) = (c.role, front.clone());
+    let (role, service) = (config.role, front.clone());
     let (stopping, fit) = flags;
     let ready = move || {
         if stopping.load(Ordering::SeqCst) {
             return Err("this node is stopping".to_string());
         }
         let fine = match role {
-            Role::Router => f.table.fresh_routes(f.clock.now()).is_some(),
+            Role::Router => service.table.fresh_routes(service.clock.now()).is_some(),
             Role::Controller => fit.load(Ordering::SeqCst),
         };
         if fine {
@@ -36,25 +36,26 @@
             Err("it could not yet prove its state current; check seeds and core".into())
         }
     };
-    let (f, l) = (front.clone(), links.clone());
+    let (service, links) = (front.clone(), links.clone());
     let metrics = move || {
-        let mut out = gates(&f.table, f.clock.now());
-        out.push_str(&quota(&f.table, f.clock.now()));
-        let _ = writeln!(out, "spindledock_open_orders {}", f.open.load(Ordering::Relaxed));
-        let _ = writeln!(out, "spindledock_bad_frames {}", l.bad.load(Ordering::Relaxed));
-        let _ = writeln!(out, "spindledock_dropped_letters {}", l.lost.load(Ordering::Relaxed));
+        let mut out = gate_metrics(&service.table, service.clock.now());
+        out.push_str(&quota_metrics(&service.table, service.clock.now()));
+        let _ = writeln!(out, "spindledock_open_orders {}", service.open_requests.load(Ordering::Relaxed));
+        let _ = writeln!(out, "spindledock_bad_frames {}", links.bad_frames.load(Ordering::Relaxed));
+        let _ =
+            writeln!(out, "spindledock_dropped_letters {}", links.dropped_messages.load(Ordering::Relaxed));
         out
     };
-    let desk = Arc::new(ChangeQueue {
-        hand: hand.clone(),
+    let api = Arc::new(AdminApi {
+        node: node.clone(),
         ready: Box::new(ready),
         metrics: Box::new(metrics),
-        operator: c.protocols.operator.clone(),
+        operator: config.protocols.operator.clone(),
     });
-    tokio::spawn(serve(socket, Arc::new(move |order| Box::pin(desk.clone().answer(order)))));
+    tokio::spawn(serve_admin(socket, Arc::new(move |order| Box::pin(api.clone().answer(order)))));
 }
 
-fn quota(table: &Table, now: Time) -> String {
+fn quota_metrics(table: &Table, now: Time) -> String {
     let mut shares = table.quota.lock().unwrap();
     let counts = shares.counts();
     let mut out = String::new();
@@ -70,27 +71,27 @@
     out
 }
 
-fn gates(table: &Table, now: Time) -> String {
+fn gate_metrics(table: &Table, now: Time) -> String {
     let mut out = String::new();
     for gate in table.gates() {
-        let g = gate.lock().unwrap();
-        let name = g.name.clone();
-        let credit = g.tries.credit();
+        let gate = gate.lock().unwrap();
+        let name = gate.name.clone();
+        let credit = gate.tries.credit();
         let mut row = |key: &str, value: f64| {
             let _ = writeln!(out, "spindledock_{key}{{service=\"{name}\"}} {value}");
         };
-        row("inbox", g.inbox.len() as f64);
-        row("first_sends", g.tries.first as f64);
-        row("extra_tries", g.tries.extra as f64);
+        row("inbox", gate.inbox.len() as f64);
+        row("first_sends", gate.tries.first as f64);
+        row("extra_tries", gate.tries.extra as f64);
         row("retry_credit", credit);
-        row("reserved_tries", g.tries.reserved() as f64);
-        row("freshness_age_ms", now.since(g.proven).as_ms() as f64);
-        row("expected_wait_ms", g.waits.as_ms() as f64);
-        row("version", g.at.0 as f64);
-        for (key, n) in g.counts.clone() {
+        row("reserved_tries", gate.tries.reserved() as f64);
+        row("freshness_age_ms", now.since(gate.proven).as_ms() as f64);
+        row("expected_wait_ms", gate.waits.as_ms() as f64);
+        row("version", gate.at.0 as f64);
+        for (key, n) in gate.counts.clone() {
             row(key, n as f64);
         }
-        let active: u64 = g.active.values().sum();
+        let active: u64 = gate.active.values().sum();
         row("active", active as f64);
     }
     out
--- a/src/gate/rehearse.rs
+++ b/src/gate/rehearse.rs
@@ -3,12 +3,12 @@
 use crate::fleet::routes::RouteTable;
 use crate::fleet::slice::route_rows;
 use crate::fleet::state::Candidate;
-use crate::http::sender::Kept;
+use crate::http::recent_requests::RecentRequest;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Clock, Time};
 use crate::msg::{RehearsalResult, RouteTraffic};
 
-fn offered(c: &FleetConfig, k: &Kept) -> Result<(), String> {
+fn offered(c: &FleetConfig, k: &RecentRequest) -> Result<(), String> {
     let Some(s) = c.service(&k.service) else { return Err(format!("service {} is not offered", k.service)) };
     if s.sort == ServiceKind::Plain {
         return Ok(());
@@ -23,7 +23,7 @@
     Ok(())
 }
 
-fn held(table: &Table, now: Time, k: &Kept) -> bool {
+fn held(table: &Table, now: Time, k: &RecentRequest) -> bool {
     let Some(gate) = table.gate(&k.service) else { return false };
     let g = gate.lock().unwrap();
     let Some(s) = &g.slice else { return false };
@@ -36,7 +36,7 @@
     s.runners.iter().any(|r| !r.leaving && holds(r))
 }
 
-fn gated(table: &Table, c: &FleetConfig, rows: &RouteTable, k: &Kept) -> Result<(), String> {
+fn gated(table: &Table, c: &FleetConfig, rows: &RouteTable, k: &RecentRequest) -> Result<(), String> {
     if k.path.is_empty() {
         return Ok(());
     }
@@ -46,8 +46,8 @@
     if !row.leads_to(&k.service) {
         return Err(format!("{} would go to {} instead of {}", k.path, row.service, k.service));
     }
-    if k.kb > row.route.body_kb {
-        return Err(format!("a body of {} KB is over the route's {}", k.kb, row.route.body_kb));
+    if k.body_kb > row.route.body_kb {
+        return Err(format!("a body of {} KB is over the route's {}", k.body_kb, row.route.body_kb));
     }
     let (Some(gate), Some(new)) = (table.gate(&k.service), c.service(&k.service)) else { return Ok(()) };
     let g = gate.lock().unwrap();
@@ -68,7 +68,7 @@
 const LIVE: usize = 8;
 
 /// The routes of the last orders, the most used first.
-pub fn live(table: &Table, now: Time, seen: &[Kept]) -> Vec<RouteTraffic> {
+pub fn live(table: &Table, now: Time, seen: &[RecentRequest]) -> Vec<RouteTraffic> {
     let mut rows: Vec<RouteTraffic> = Vec::new();
     for k in seen {
         let Some((_, Some(r))) = table.find(now, &k.host, &k.path) else { continue };
@@ -87,17 +87,22 @@
     rows
 }
 
-pub fn rehearse(table: &Table, clock: &dyn Clock, trial: &Candidate, seen: &[Kept]) -> RehearsalResult {
+pub fn rehearse(
+    table: &Table,
+    clock: &dyn Clock,
+    trial: &Candidate,
+    seen: &[RecentRequest],
+) -> RehearsalResult {
     let mut out = RehearsalResult { id: trial.id, ..RehearsalResult::default() };
     let samples = trial.config.rollout.samples.iter();
-    let samples: Vec<Kept> = samples
-        .map(|s| Kept {
+    let samples: Vec<RecentRequest> = samples
+        .map(|s| RecentRequest {
             service: s.service.clone(),
             model: s.model.clone(),
             adapter: Name::default(),
             host: String::new(),
             path: String::new(),
-            kb: 0,
+            body_kb: 0,
         })
         .collect();
     let routes = RouteTable::from(route_rows(&trial.config));
--- a/src/hollow/node.rs
+++ b/src/hollow/node.rs
@@ -3,7 +3,7 @@
 use super::size::Size;
 use super::world::{Event, Hollow};
 use crate::daemon::assemble::{controller, router};
-use crate::daemon::keep;
+use crate::daemon::node_io;
 use crate::fleet::state::Scope;
 use crate::kernel::disk::Disk;
 use crate::kernel::ids::*;
@@ -118,7 +118,7 @@
         self.work(place, "letter", move |node, now| {
             let open = wire::decode_frame(&raw, wire::MAX_NETWORK_BODY)
                 .and_then(|(body, _)| wire::decode_envelope(body));
-            open.map_or(vec![], |l| keep::letter(node, now, l))
+            open.map_or(vec![], |l| node_io::deliver(node, now, l))
         });
     }
 
--- a/src/hollow/size.rs
+++ b/src/hollow/size.rs
@@ -1,4 +1,4 @@
-use crate::daemon::assemble::{Place, Policy};
+use crate::daemon::assemble::{NodeSettings, Policy};
 use crate::distribution::reader::{FRESHNESS_LIMIT, SERVING_LEASE};
 use crate::fleet::runner::Runner;
 use crate::kernel::ids::Name;
@@ -70,18 +70,18 @@
         SocketAddr::from(([10, 0, 0, 1], 1000 + place as u16))
     }
 
-    pub fn place(&self, place: usize) -> Place {
+    pub fn place(&self, place: usize) -> NodeSettings {
         let seeds = (0..self.core).filter(|s| *s != place).take(3).map(|s| self.addr(s));
-        Place {
+        NodeSettings {
             addr: self.addr(place),
             admin: SocketAddr::from(([10, 0, 0, 2], 1000 + place as u16)),
             domain: Name(format!("z{}", self.zone(place))),
             seeds: seeds.collect(),
-            core: self.core,
-            bear: (self.core - 1) / 2,
-            first: true,
-            proof: FRESHNESS_LIMIT,
-            lease: SERVING_LEASE,
+            core_size: self.core,
+            tolerated_failures: (self.core - 1) / 2,
+            may_found: true,
+            freshness_limit: FRESHNESS_LIMIT,
+            serving_lease: SERVING_LEASE,
             policy: Policy::Move,
             list: None,
             protocols: Default::default(),
--- a/src/http/admin.rs
+++ b/src/http/admin.rs
@@ -1,5 +1,5 @@
-use super::answer::{OutBody, operator, own, whole};
-use crate::daemon::input::Hand;
+use super::answer::{AnswerBody, coded_answer, full_body, operator_answer};
+use crate::daemon::input::NodeHandle;
 use crate::fleet::runner::Runner;
 use crate::json::Tree;
 use crate::kernel::ids::*;
@@ -12,25 +12,25 @@
 use hyper::{Method, Request, Response, StatusCode};
 use std::sync::Arc;
 
-const BODY: usize = 8 << 20;
+const BODY_MAX_BYTES: usize = 8 << 20;
 
-pub struct ChangeQueue {
-    pub hand: Hand,
+pub struct AdminApi {
+    pub node: NodeHandle,
     pub ready: Box<dyn Fn() -> Result<(), String> + Send + Sync>,
     pub metrics: Box<dyn Fn() -> String + Send + Sync>,
     pub operator: Option<Arc<dyn OperatorProtocol>>,
 }
 
-struct Told {
+struct AdminCall {
     method: String,
     path: String,
     base: Option<String>,
     text: String,
 }
 
-impl Told {
+impl AdminCall {
     /// The digest of all that the call asks for.
-    fn document(&self) -> DocumentDigest {
+    fn digest(&self) -> DocumentDigest {
         let stated: &[u8] = if self.base.is_some() { b"on" } else { b"any" };
         let base = self.base.as_deref().unwrap_or("").as_bytes();
         DocumentDigest::of(&[
@@ -45,7 +45,7 @@
 
 /// The value of `If-Match`. Several headers make a list, and bytes that are no text stay unreadable, so that
 /// neither passes for a call that states no base.
-fn base_of(headers: &HeaderMap) -> Option<String> {
+fn if_match_value(headers: &HeaderMap) -> Option<String> {
     let values: Vec<String> = headers
         .get_all("if-match")
         .iter()
@@ -55,26 +55,30 @@
 }
 
 /// The name under which the caller wants the change known; one of our own if it gives none.
-fn name_of(headers: &HeaderMap) -> Option<u128> {
+fn change_name(headers: &HeaderMap) -> Option<u128> {
     match headers.get("x-change-id") {
         Some(name) => name.to_str().ok().and_then(ChangeId::parse_name),
         None => Some(ChangeId::random(&mut OsRandom).name),
     }
 }
 
-fn bad(text: &str) -> Answer {
+fn bad_request(text: &str) -> Answer {
     Answer::new(400, "bad-order", text, 0)
 }
 
-impl ChangeQueue {
-    fn ready_answer(&self) -> Response<OutBody> {
+impl AdminApi {
+    fn ready_answer(&self) -> Response<AnswerBody> {
         match (self.ready)() {
-            Ok(()) => own(200, "ready", "this node is ready", 0, "answered"),
-            Err(why) => own(503, "not-ready", &why, 1, "answered"),
+            Ok(()) => coded_answer(200, "ready", "this node is ready", 0, "answered"),
+            Err(why) => coded_answer(503, "not-ready", &why, 1, "answered"),
         }
     }
 
-    async fn wished(&self, side: &dyn OperatorProtocol, call: &Told) -> Option<Response<OutBody>> {
+    async fn platform_answer(
+        &self,
+        side: &dyn OperatorProtocol,
+        call: &AdminCall,
+    ) -> Option<Response<AnswerBody>> {
         let base = call.base.as_deref();
         let id = match call.method.as_str() {
             "GET" => ChangeId::random(&mut OsRandom),
@@ -82,10 +86,10 @@
         };
         let answer = match side.read_request(id, &call.method, &call.path, base, &call.text)? {
             ParsedCall::Ready => return Some(self.ready_answer()),
-            ParsedCall::Event(ev) => self.hand.ask(id, *ev).await,
+            ParsedCall::Event(ev) => self.node.ask(id, *ev).await,
             ParsedCall::Bad(answer) => answer,
         };
-        let mut response = operator(&answer);
+        let mut response = operator_answer(&answer);
         *response.status_mut() = StatusCode::from_u16(side.status(&answer)).unwrap_or_default();
         if response.status().is_redirection()
             && let Some(address) = answer.redirect
@@ -96,24 +100,24 @@
         Some(response)
     }
 
-    pub async fn answer(self: Arc<ChangeQueue>, order: Request<Incoming>) -> Response<OutBody> {
+    pub async fn answer(self: Arc<AdminApi>, order: Request<Incoming>) -> Response<AnswerBody> {
         let path = order.uri().path().trim_matches('/').to_string();
-        let base = base_of(order.headers());
-        let Some(name) = name_of(order.headers()) else {
+        let base = if_match_value(order.headers());
+        let Some(name) = change_name(order.headers()) else {
             let text = "X-Change-Id is no id; give up to 32 hexadecimal digits, or none";
-            return own(400, "bad-order", text, 0, "refused");
+            return coded_answer(400, "bad-order", text, 0, "refused");
         };
         let method = order.method().clone();
         match (&method, path.as_str()) {
             (&Method::GET, "ready") => return self.ready_answer(),
-            (&Method::GET, "metrics") => return Response::new(whole((self.metrics)())),
-            (&Method::GET, "v1/local") => return Response::new(whole(self.hand.status().await)),
+            (&Method::GET, "metrics") => return Response::new(full_body((self.metrics)())),
+            (&Method::GET, "v1/local") => return Response::new(full_body(self.node.status().await)),
             _ => {}
         }
-        let body = match Limited::new(order.into_body(), BODY).collect().await {
+        let body = match Limited::new(order.into_body(), BODY_MAX_BYTES).collect().await {
             Ok(b) => b.to_bytes().to_vec(),
             Err(_) => {
-                return own(
+                return coded_answer(
                     413,
                     "body-too-large",
                     "the body is over 8 MB; send a partial change",
@@ -123,20 +127,26 @@
             }
         };
         let Ok(text) = String::from_utf8(body) else {
-            return own(400, "bad-order", "the body is no UTF-8; send the document as UTF-8", 0, "refused");
+            return coded_answer(
+                400,
+                "bad-order",
+                "the body is no UTF-8; send the document as UTF-8",
+                0,
+                "refused",
+            );
         };
-        let call = Told { method: method.to_string(), path: format!("/{path}"), base, text };
-        let id = ChangeId::named(name, call.document());
+        let call = AdminCall { method: method.to_string(), path: format!("/{path}"), base, text };
+        let id = ChangeId::named(name, call.digest());
         if let Some(side) = &self.operator
-            && let Some(response) = self.wished(&**side, &call).await
+            && let Some(response) = self.platform_answer(&**side, &call).await
         {
             return response;
         }
-        let answer = match event(&method, &path, id, call.base, call.text) {
-            Ok(ev) => self.hand.ask(id, ev).await,
+        let answer = match event_of(&method, &path, id, call.base, call.text) {
+            Ok(ev) => self.node.ask(id, ev).await,
             Err(answer) => answer,
         };
-        let mut response = operator(&answer);
+        let mut response = operator_answer(&answer);
         if let Ok(v) = id.to_string().parse() {
             response.headers_mut().insert("x-change-id", v);
         }
@@ -144,7 +154,7 @@
     }
 }
 
-fn event(
+fn event_of(
     method: &Method,
     path: &str,
     id: ChangeId,
@@ -157,10 +167,10 @@
         None => None,
         Some(b) => Some(
             Version::parse(b.trim_matches('"'))
-                .ok_or_else(|| bad("If-Match is no version; give one as shown by config"))?,
+                .ok_or_else(|| bad_request("If-Match is no version; give one as shown by config"))?,
         ),
     };
-    let tree = || Tree::parse(&text).map_err(|why| bad(&format!("{why}; send well-formed JSON")));
+    let tree = || Tree::parse(&text).map_err(|why| bad_request(&format!("{why}; send well-formed JSON")));
     let op = match (method, &rows[..]) {
         (&Method::GET, ["v1", "changes", id]) => {
             return Ok(Event::ReadCall { id: ask, path: format!("change/{id}") });
@@ -169,7 +179,7 @@
         (&Method::GET, ["v1", what]) => return Ok(Event::ReadCall { id, path: what.to_string() }),
         (&Method::PUT, ["v1", "config"]) => match crate::fleet::read::read_text(&text) {
             Ok(_) => OperatorCall::ReplaceConfig { base, text },
-            Err(bad) => return Err(crate::chain::reply::faults(&bad)),
+            Err(bad_request) => return Err(crate::chain::reply::faults(&bad_request)),
         },
         (&Method::PATCH, ["v1", "config"]) => OperatorCall::PatchConfig { base, text },
         (&Method::PUT, ["v1", "runners"]) => {
@@ -177,11 +187,11 @@
             let rows = if let Tree::List(rows) = &tree { &rows[..] } else { tree.list("runners") };
             let mut list = Vec::new();
             for t in rows {
-                list.push(Runner::read(t).map_err(|why| bad(&why))?);
+                list.push(Runner::read(t).map_err(|why| bad_request(&why))?);
             }
             for (n, r) in list.iter().enumerate() {
                 if list[..n].iter().any(|o| o.instance == r.instance) {
-                    return Err(bad(&format!("runner {} is given twice; keep one", r.instance)));
+                    return Err(bad_request(&format!("runner {} is given twice; keep one", r.instance)));
                 }
             }
             OperatorCall::SetRunners(list)
@@ -190,7 +200,7 @@
         (&Method::POST, ["v1", "plan", "propose"]) => OperatorCall::ProposePlan,
         (&Method::POST, ["v1", "plan", "accept", at]) => match Version::parse(at) {
             Some(at) => OperatorCall::AcceptPlan(at),
-            None => return Err(bad("the plan's version is no version; give one as shown by plan")),
+            None => return Err(bad_request("the plan's version is no version; give one as shown by plan")),
         },
         (&Method::POST, ["v1", "moves"]) => {
             let t = tree()?;
--- a/src/http/attempt.rs
+++ b/src/http/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt to have a request run by one runner: the request as it is sent, and what came of it, step by step.
 
 use super::connection::SendError;
-use super::exchange::{Answer, BodyBroken, Exchange, Judged};
+use super::exchange::{BodyBroken, Classified, Exchange, RunnerAnswer};
 use super::guard::Check;
 use super::pool::Pool;
 use crate::fleet::config::RouteKind;
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-const WHOLE_LIMIT: usize = 64 << 20;
+const BUFFERED_ANSWER_MAX_BYTES: usize = 64 << 20;
 
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
@@ -33,15 +33,15 @@
 ];
 
 /// The headers that are meant for the far end, without those of one connection.
-pub fn end_to_end(heads: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = heads
+pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+    let named: Vec<String> = headers
         .get_all("connection")
         .iter()
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(',').map(|s| s.trim().to_ascii_lowercase()))
         .collect();
     let mut out = HeaderMap::new();
-    for (k, v) in heads {
+    for (k, v) in headers {
         let name = k.as_str();
         if HOP_BY_HOP.contains(&name) || named.iter().any(|n| n == name) {
             continue;
@@ -55,7 +55,7 @@
 pub struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
-    pub heads: HeaderMap,
+    pub headers: HeaderMap,
     pub body: Bytes,
 }
 
@@ -69,36 +69,37 @@
 }
 
 /// The request as this attempt's runner gets it.
-pub fn request_for(job: &Attempt) -> Request<Full<Bytes>> {
-    let (shape, runner) = (&job.shape, &job.runner);
-    let mut order = Request::new(Full::new(shape.body.clone()));
-    *order.method_mut() = shape.method.clone();
-    *order.uri_mut() = shape.uri.clone();
-    *order.headers_mut() = shape.heads.clone();
-    let heads = order.headers_mut();
-    heads.remove("content-length");
-    heads.remove("expect");
+pub fn outgoing_request(job: &Attempt) -> Request<Full<Bytes>> {
+    let (request, runner) = (&job.request, &job.runner);
+    let mut outgoing = Request::new(Full::new(request.body.clone()));
+    *outgoing.method_mut() = request.method.clone();
+    *outgoing.uri_mut() = request.uri.clone();
+    *outgoing.headers_mut() = request.headers.clone();
+    let headers = outgoing.headers_mut();
+    headers.remove("content-length");
+    headers.remove("expect");
     let left = job.order.end.since(job.clock.now());
-    job.side.add_request_headers(heads, runner, &job.order, job.last.as_deref(), left);
-    if let (false, Ok(host)) = (heads.contains_key("host"), HeaderValue::from_str(&runner.addr.to_string())) {
-        heads.insert("host", host);
+    job.side.add_request_headers(headers, runner, &job.order, job.last_event_id.as_deref(), left);
+    if let (false, Ok(host)) = (headers.contains_key("host"), HeaderValue::from_str(&runner.addr.to_string()))
+    {
+        headers.insert("host", host);
     }
-    order
+    outgoing
 }
 
 /// All that one attempt needs.
 pub struct Attempt {
-    pub no: AttemptNo,
+    pub number: AttemptNo,
     pub runner: Runner,
-    pub last: Option<String>,
+    pub last_event_id: Option<String>,
     pub order: Order,
     pub side: Arc<dyn RunnerProtocol>,
     pub clock: Arc<dyn Clock>,
-    pub shape: Arc<ForwardedRequest>,
+    pub request: Arc<ForwardedRequest>,
     pub pool: Arc<Pool>,
     pub check: Check,
-    pub why: Box<dyn Fn() -> Option<Why> + Send + Sync>,
-    pub tx: mpsc::Sender<AttemptEvent>,
+    pub refusal_cause: Box<dyn Fn() -> Option<Why> + Send + Sync>,
+    pub events: mpsc::Sender<AttemptEvent>,
 }
 
 /// Sends the request, its deadline counted from the moment it is sent. A connection that turns out to be gone
@@ -106,11 +107,11 @@
 async fn send(job: &Attempt) -> Result<(Exchange, HeaderMap), SendError> {
     loop {
         let connection = job.pool.connect(job.runner.addr).await?;
-        let used = connection.is_used();
-        let request = request_for(job);
+        let was_used = connection.is_used();
+        let request = outgoing_request(job);
         let sent = request.headers().clone();
         match connection.send(request, job.check.clone()).await {
-            Err(SendError::NotSent) if used => continue,
+            Err(SendError::NotSent) if was_used => continue,
             done => return done.map(|exchange| (exchange, sent)),
         }
     }
@@ -118,73 +119,73 @@
 
 /// One try at one runner, told step by step to the forwarding that asked for it.
 pub async fn run(job: Attempt) {
-    let attempt = job.no;
-    let say = |ev: In| job.tx.send(AttemptEvent::Step(ev));
+    let attempt = job.number;
+    let report = |ev: In| job.events.send(AttemptEvent::Step(ev));
     let (exchange, sent) = match send(&job).await {
         Ok(done) => done,
-        Err(SendError::NotSent) => return drop(say(In::OpenFailed { attempt, why: None }).await),
-        Err(SendError::Barred) => {
-            let why = (job.why)().or(Some(Why::Stale));
-            return drop(say(In::OpenFailed { attempt, why }).await);
+        Err(SendError::NotSent) => return drop(report(In::OpenFailed { attempt, why: None }).await),
+        Err(SendError::RefusedByCheck) => {
+            let why = (job.refusal_cause)().or(Some(Why::Stale));
+            return drop(report(In::OpenFailed { attempt, why }).await);
         }
-        Err(SendError::Unsure) => return drop(say(In::Lost { attempt }).await),
+        Err(SendError::MaybeSent) => return drop(report(In::Lost { attempt }).await),
     };
     let load = job.side.load(exchange.headers());
     let judged = exchange.judge(|status, headers| job.side.classify_response(&sent, status, headers));
-    if let (Some(load), false) = (load, matches!(judged, Judged::Stray)) {
-        let _ = say(In::Load { attempt, load }).await;
+    if let (Some(load), false) = (load, matches!(judged, Classified::Stray)) {
+        let _ = report(In::Load { attempt, load }).await;
     }
     match judged {
-        Judged::Own(answer) => pass_on(&job, answer).await,
-        Judged::NotRun(answer) => turned_away(&job, answer, false).await,
-        Judged::NotMine(answer) => turned_away(&job, answer, true).await,
-        Judged::Stray => drop(say(In::Lost { attempt }).await),
+        Classified::Own(answer) => relay_answer(&job, answer).await,
+        Classified::NotExecuted(answer) => report_refusal(&job, answer, false).await,
+        Classified::Misdirected(answer) => report_refusal(&job, answer, true).await,
+        Classified::Stray => drop(report(In::Lost { attempt }).await),
     }
 }
 
-async fn turned_away(job: &Attempt, answer: Answer, gone: bool) {
+async fn report_refusal(job: &Attempt, answer: RunnerAnswer, gone: bool) {
     job.pool.drain(job.runner.addr, answer).await;
-    let _ = job.tx.send(AttemptEvent::Step(In::Shed { attempt: job.no, gone })).await;
+    let _ = job.events.send(AttemptEvent::Step(In::Shed { attempt: job.number, gone })).await;
 }
 
 /// Hands the runner's answer on. One to a request that may run again is read as a whole first, so that another
 /// runner can still give it.
-async fn pass_on(job: &Attempt, mut answer: Answer) {
-    let attempt = job.no;
-    let say = |ev: In| job.tx.send(AttemptEvent::Step(ev));
+async fn relay_answer(job: &Attempt, mut answer: RunnerAnswer) {
+    let attempt = job.number;
+    let report = |ev: In| job.events.send(AttemptEvent::Step(ev));
     let status = answer.status();
-    let heads = end_to_end(answer.headers());
-    let kind = heads.get("content-type").and_then(|v| v.to_str().ok()).unwrap_or("");
+    let headers = end_to_end(answer.headers());
+    let kind = headers.get("content-type").and_then(|v| v.to_str().ok()).unwrap_or("");
     let stream = kind.starts_with("text/event-stream");
     let end = answer.end();
     let mut whole = None;
     if job.order.kind == RouteKind::Idempotent && !stream {
-        match answer.collect(WHOLE_LIMIT).await {
+        match answer.collect(BUFFERED_ANSWER_MAX_BYTES).await {
             Ok(body) => whole = Some(body),
-            Err(BodyBroken) => return drop(say(In::Lost { attempt }).await),
+            Err(BodyBroken) => return drop(report(In::Lost { attempt }).await),
         }
     }
-    if job.tx.send(AttemptEvent::Head((attempt, status, heads))).await.is_err()
-        || say(In::Head { attempt, status, stream }).await.is_err()
+    if job.events.send(AttemptEvent::Head((attempt, status, headers))).await.is_err()
+        || report(In::Head { attempt, status, stream }).await.is_err()
     {
         return;
     }
     if let Some(raw) = whole {
-        job.pool.keep(job.runner.addr, answer);
-        let _ = say(In::Chunk { attempt, raw }).await;
-        return drop(say(In::End { attempt, end }).await);
+        job.pool.keep_connection_of(job.runner.addr, answer);
+        let _ = report(In::Chunk { attempt, raw }).await;
+        return drop(report(In::End { attempt, end }).await);
     }
     loop {
         match answer.next().await {
             Ok(Some(raw)) => {
-                if say(In::Chunk { attempt, raw }).await.is_err() {
+                if report(In::Chunk { attempt, raw }).await.is_err() {
                     return;
                 }
             }
             Ok(None) => break,
-            Err(BodyBroken) => return drop(say(In::Lost { attempt }).await),
+            Err(BodyBroken) => return drop(report(In::Lost { attempt }).await),
         }
     }
-    job.pool.keep(job.runner.addr, answer);
-    let _ = say(In::End { attempt, end }).await;
+    job.pool.keep_connection_of(job.runner.addr, answer);
+    let _ = report(In::End { attempt, end }).await;
 }
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -4,7 +4,7 @@
 //! by a panic, at the end of a time or by an early return, breaks the answer off, so that the client can tell.
 #![deny(missing_docs)]
 
-use super::answer::Broken;
+use super::answer::BodyError;
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
 use std::pin::Pin;
@@ -62,9 +62,12 @@
 
 impl Body for StreamedBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if self.ended {
             return Poll::Ready(None);
         }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -2,7 +2,7 @@
 //! long a connection may rest between requests. A connection over its limit reads as ended, so that a request
 //! already under way on it is never cut.
 
-use super::guard::unacknowledged;
+use super::guard::unacknowledged_bytes;
 use crate::fleet::config::Limits;
 use crate::kernel::time::{Clock, Span, Time};
 use std::os::fd::RawFd;
@@ -11,7 +11,7 @@
 use std::task::{Context, Waker};
 
 /// The least buffer that the library allows for a head.
-const LEAST_HEAD_BUFFER: usize = 8192;
+const HEAD_BUFFER_MIN: usize = 8192;
 /// Room in the buffer beyond the longest head, so that the exact limit is judged on the parsed head.
 const HEAD_BUFFER_SLACK: usize = 4096;
 
@@ -19,15 +19,15 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
     /// Between requests, allowed to rest for `limit`.
-    Resting { since: Time, limit: Span },
+    Idle { since: Time, limit: Span },
     /// A head has begun to come.
-    Head { since: Time },
+    ReadingHead { since: Time },
     /// A request is under way.
     Serving,
     /// The answer is whole here; part of it is not yet written to the socket.
     Flushing,
     /// Over a limit: nothing more is read.
-    Ended,
+    Expired,
 }
 
 struct State {
@@ -38,11 +38,11 @@
 /// One client's connection.
 pub struct ClientConnection {
     state: Mutex<State>,
-    all: Arc<ClientConnections>,
-    head_limit: u64,
+    connections: Arc<ClientConnections>,
+    head_max_bytes: u64,
     socket: Mutex<Option<RawFd>>,
     ended_by_close: AtomicBool,
-    broken: AtomicBool,
+    is_broken: AtomicBool,
 }
 
 /// All connections of clients, and the limits in force.
@@ -72,31 +72,37 @@
     }
 
     /// How many connections have a request under way, or an answer that its client has not wholly acknowledged.
-    pub fn serving(&self) -> usize {
-        self.count(|c| matches!(c.phase(), Phase::Serving | Phase::Flushing) || c.unacknowledged() > 0)
+    pub fn count_serving(&self) -> usize {
+        self.count(|c| matches!(c.phase(), Phase::Serving | Phase::Flushing) || c.unacknowledged_bytes() > 0)
     }
 
     /// How many connections have sent part of a head that is not yet whole.
-    pub fn begun(&self) -> usize {
-        self.count(|c| matches!(c.phase(), Phase::Head { .. }))
+    pub fn count_reading_head(&self) -> usize {
+        self.count(|c| matches!(c.phase(), Phase::ReadingHead { .. }))
     }
 
-    fn count(&self, is: impl Fn(&ClientConnection) -> bool) -> usize {
+    fn count(&self, holds: impl Fn(&ClientConnection) -> bool) -> usize {
         let open = self.open.lock().unwrap();
-        open.iter().filter_map(Weak::upgrade).filter(|c| is(c)).count()
+        open.iter().filter_map(Weak::upgrade).filter(|c| holds(c)).count()
     }
 
     /// Takes in a new connection.
     pub fn add(self: &Arc<ClientConnections>) -> Arc<ClientConnection> {
         let limits = self.limits();
-        let phase = Phase::Resting { since: self.clock.now(), limit: Span::ms(limits.idle_ms) };
+        let phase = Phase::Idle { since: self.clock.now(), limit: Span::ms(limits.idle_ms) };
         let state = Mutex::new(State { phase, reader: None });
-        let head_limit = limits.head_bytes;
-        let (ended_by_close, broken) = (AtomicBool::new(false), AtomicBool::new(false));
-        let all = self.clone();
+        let head_max_bytes = limits.head_bytes;
+        let (ended_by_close, is_broken) = (AtomicBool::new(false), AtomicBool::new(false));
+        let connections = self.clone();
         let socket = Mutex::default();
-        let connection =
-            Arc::new(ClientConnection { state, all, head_limit, socket, ended_by_close, broken });
+        let connection = Arc::new(ClientConnection {
+            state,
+            connections,
+            head_max_bytes,
+            socket,
+            ended_by_close,
+            is_broken,
+        });
         self.open.lock().unwrap().push(Arc::downgrade(&connection));
         connection
     }
@@ -108,7 +114,7 @@
         let mut open = self.open.lock().unwrap();
         open.retain(|row| {
             let Some(connection) = row.upgrade() else { return false };
-            connection.end_if_over(now, &limits);
+            connection.expire_if_over(now, &limits);
             true
         });
     }
@@ -117,18 +123,18 @@
 impl ClientConnection {
     /// The buffer for a head on this connection.
     pub fn head_buffer(&self) -> usize {
-        (self.head_limit as usize).max(LEAST_HEAD_BUFFER) + HEAD_BUFFER_SLACK
+        (self.head_max_bytes as usize).max(HEAD_BUFFER_MIN) + HEAD_BUFFER_SLACK
     }
 
     /// Whether heads may by now be longer than this connection was made for.
     pub fn is_outgrown(&self) -> bool {
-        self.all.limits.lock().unwrap().head_bytes > self.head_limit
+        self.connections.limits.lock().unwrap().head_bytes > self.head_max_bytes
     }
 
     /// A request has been read; false if the connection is over a limit.
-    pub fn begin(&self) -> bool {
+    pub fn begin_request(&self) -> bool {
         let mut state = self.state.lock().unwrap();
-        if state.phase == Phase::Ended {
+        if state.phase == Phase::Expired {
             return false;
         }
         state.phase = Phase::Serving;
@@ -136,13 +142,13 @@
     }
 
     /// The client takes the end of the connection for the end of an answer (HTTP/1.0).
-    pub fn ends_by_close(&self) {
+    pub fn set_ended_by_close(&self) {
         self.ended_by_close.store(true, Ordering::SeqCst);
     }
 
     /// The answer under way can't be completed.
-    pub fn break_off(&self) {
-        self.broken.store(true, Ordering::SeqCst);
+    pub fn mark_broken_off(&self) {
+        self.is_broken.store(true, Ordering::SeqCst);
     }
 
     /// Whether the client takes the end of the connection for the end of an answer.
@@ -152,24 +158,24 @@
 
     /// Whether the answer under way can't be completed.
     pub(super) fn is_broken_off(&self) -> bool {
-        self.broken.load(Ordering::SeqCst)
+        self.is_broken.load(Ordering::SeqCst)
     }
 
     /// The whole answer was taken over for writing.
-    pub fn taken(&self) {
+    pub fn body_taken(&self) {
         let mut state = self.state.lock().unwrap();
-        if state.phase != Phase::Ended {
+        if state.phase != Phase::Expired {
             state.phase = Phase::Flushing;
         }
     }
 
     /// All that was to be written reached the socket: after an answer, the connection begins to rest.
-    pub(super) fn flushed(&self) {
-        let limit = Span::ms(self.all.limits.lock().unwrap().idle_ms);
-        let since = self.all.clock.now();
+    pub(super) fn socket_flushed(&self) {
+        let limit = Span::ms(self.connections.limits.lock().unwrap().idle_ms);
+        let since = self.connections.clock.now();
         let mut state = self.state.lock().unwrap();
         if state.phase == Phase::Flushing {
-            state.phase = Phase::Resting { since, limit };
+            state.phase = Phase::Idle { since, limit };
         }
     }
 
@@ -183,33 +189,35 @@
     }
 
     /// Whether a close has to wait: what a closed socket has unread would reset what its client has not yet.
-    pub(super) fn lingers(&self) -> bool {
-        self.all.stopping.load(Ordering::SeqCst) && !self.is_broken_off() && self.unacknowledged() > 0
+    pub(super) fn must_linger(&self) -> bool {
+        self.connections.stopping.load(Ordering::SeqCst)
+            && !self.is_broken_off()
+            && self.unacknowledged_bytes() > 0
     }
 
     /// The bytes that were written to the socket and that the client has not acknowledged.
-    fn unacknowledged(&self) -> u64 {
+    fn unacknowledged_bytes(&self) -> u64 {
         let socket = self.socket.lock().unwrap();
-        socket.and_then(unacknowledged).map_or(0, |bytes| bytes.max(0) as u64)
+        socket.and_then(unacknowledged_bytes).map_or(0, |bytes| bytes.max(0) as u64)
     }
 
-    pub(super) fn heard(&self) {
+    pub(super) fn bytes_received(&self) {
         let mut state = self.state.lock().unwrap();
-        if let Phase::Resting { .. } = state.phase {
-            state.phase = Phase::Head { since: self.all.clock.now() };
+        if let Phase::Idle { .. } = state.phase {
+            state.phase = Phase::ReadingHead { since: self.connections.clock.now() };
         }
     }
 
-    fn end_if_over(&self, now: Time, limits: &Limits) {
+    fn expire_if_over(&self, now: Time, limits: &Limits) {
         let mut state = self.state.lock().unwrap();
         let over = match state.phase {
             // The longer of the limits that held while it rested: a client may know the older one.
-            Phase::Resting { since, limit } => now.since(since) > limit.max(Span::ms(limits.idle_ms)),
-            Phase::Head { since } => now.since(since) > Span::ms(limits.head_ms),
-            Phase::Serving | Phase::Flushing | Phase::Ended => false,
+            Phase::Idle { since, limit } => now.since(since) > limit.max(Span::ms(limits.idle_ms)),
+            Phase::ReadingHead { since } => now.since(since) > Span::ms(limits.head_ms),
+            Phase::Serving | Phase::Flushing | Phase::Expired => false,
         };
         if over {
-            state.phase = Phase::Ended;
+            state.phase = Phase::Expired;
             if let Some(reader) = state.reader.take() {
                 reader.wake();
             }
@@ -217,9 +225,9 @@
     }
 
     /// True if nothing more may be read; else `cx` is woken when that changes.
-    pub(super) fn poll_ended(&self, cx: &Context) -> bool {
+    pub(super) fn poll_expired(&self, cx: &Context) -> bool {
         let mut state = self.state.lock().unwrap();
-        if state.phase == Phase::Ended {
+        if state.phase == Phase::Expired {
             return true;
         }
         if state.reader.as_ref().is_none_or(|w| !w.will_wake(cx.waker())) {
--- a/src/http/client_stream.rs
+++ b/src/http/client_stream.rs
@@ -20,51 +20,52 @@
     tcp: TcpStream,
     connection: Arc<ClientConnection>,
     /// Whether a close that was not announced is a reset.
-    resets: bool,
+    resets_on_close: bool,
     /// When it is looked again whether the client has all of its answer.
-    look: Option<Pin<Box<Sleep>>>,
+    next_poll: Option<Pin<Box<Sleep>>>,
 }
 
 /// How often it is looked whether a client has all of its answer before its connection closes.
-const LOOK: Duration = Duration::from_millis(20);
+const ACKNOWLEDGEMENT_POLL_PERIOD: Duration = Duration::from_millis(20);
 
 impl ClientStream {
     /// Reads and writes `tcp` within the limits of `connection`.
     pub fn new(tcp: TcpStream, connection: Arc<ClientConnection>) -> ClientStream {
         connection.set_socket(Some(tcp.as_raw_fd()));
-        ClientStream { tcp, connection, resets: false, look: None }
+        ClientStream { tcp, connection, resets_on_close: false, next_poll: None }
     }
 
     /// A client that takes the end of the connection for the end of its answer sees a reset, unless the answer was
     /// passed on to its end; so also where the process ends.
-    fn expect_reset(&mut self) {
-        if !self.resets && self.connection.is_ended_by_close() {
-            self.resets = reset_on_close(&self.tcp, true).is_ok();
+    fn prepare_reset_on_close(&mut self) {
+        if !self.resets_on_close && self.connection.is_ended_by_close() {
+            self.resets_on_close = reset_on_close(&self.tcp, true).is_ok();
         }
     }
 
     /// Reads and drops what the client still sends until it has all of its answer or has closed.
     fn poll_linger(&mut self, cx: &mut Context) -> Poll<()> {
-        let mut dropped = [0; 1024];
-        while self.connection.lingers() {
-            let mut buf = ReadBuf::new(&mut dropped);
+        let mut discarded = [0; 1024];
+        while self.connection.must_linger() {
+            let mut buf = ReadBuf::new(&mut discarded);
             match Pin::new(&mut self.tcp).poll_read(cx, &mut buf) {
                 Poll::Ready(Ok(())) if !buf.filled().is_empty() => continue,
                 Poll::Ready(_) => return Poll::Ready(()),
                 Poll::Pending => {}
             }
-            let look = self.look.get_or_insert_with(|| Box::pin(sleep(LOOK)));
-            if look.as_mut().poll(cx).is_pending() {
+            let next_poll =
+                self.next_poll.get_or_insert_with(|| Box::pin(sleep(ACKNOWLEDGEMENT_POLL_PERIOD)));
+            if next_poll.as_mut().poll(cx).is_pending() {
                 return Poll::Pending;
             }
-            self.look = None;
+            self.next_poll = None;
         }
         Poll::Ready(())
     }
 
-    fn expect_end(&mut self) {
-        if self.resets && !self.connection.is_broken_off() {
-            self.resets = reset_on_close(&self.tcp, false).is_err();
+    fn cancel_reset_on_close(&mut self) {
+        if self.resets_on_close && !self.connection.is_broken_off() {
+            self.resets_on_close = reset_on_close(&self.tcp, false).is_err();
         }
     }
 }
@@ -78,13 +79,13 @@
 impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let me = self.get_mut();
-        if me.connection.poll_ended(cx) {
+        if me.connection.poll_expired(cx) {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
         let done = Pin::new(&mut me.tcp).poll_read(cx, buf);
         if buf.filled().len() > before {
-            me.connection.heard();
+            me.connection.bytes_received();
         }
         done
     }
@@ -93,7 +94,7 @@
 impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let me = self.get_mut();
-        me.expect_reset();
+        me.prepare_reset_on_close();
         Pin::new(&mut me.tcp).poll_write(cx, buf)
     }
 
@@ -101,14 +102,14 @@
         let me = self.get_mut();
         let done = Pin::new(&mut me.tcp).poll_flush(cx);
         if let Poll::Ready(Ok(())) = &done {
-            me.connection.flushed();
+            me.connection.socket_flushed();
         }
         done
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         let me = self.get_mut();
-        me.expect_end();
+        me.cancel_reset_on_close();
         if let Poll::Ready(Err(fault)) = Pin::new(&mut me.tcp).poll_shutdown(cx) {
             return Poll::Ready(Err(fault));
         }
@@ -121,7 +122,7 @@
         rows: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
         let me = self.get_mut();
-        me.expect_reset();
+        me.prepare_reset_on_close();
         Pin::new(&mut me.tcp).poll_write_vectored(cx, rows)
     }
 
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -21,11 +21,11 @@
 /// How long a connection attempt may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// A connection whose peer acknowledges nothing for so long is dropped.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a connection rests whose peer names no time.
-const DEFAULT_REST: Duration = Duration::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 /// How much earlier than the peer a resting connection is given up.
-const REST_MARGIN_MS: u64 = 400;
+const KEEP_ALIVE_MARGIN_MS: u64 = 400;
 
 /// Why a request has no answer.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -33,55 +33,58 @@
     /// No byte of the request left this process.
     NotSent,
     /// The check refused the request before its first byte.
-    Barred,
+    RefusedByCheck,
     /// A byte may have left: the request may run.
-    Unsure,
+    MaybeSent,
 }
 
 /// The parts that every state owns. Dropping them ends the connection.
-pub(super) struct Link {
+pub(super) struct Transport {
     sender: http1::SendRequest<Full<Bytes>>,
     guard: Arc<Guard>,
     task: AbortHandle,
-    used: bool,
-    clean: bool,
+    is_used: bool,
+    is_clean: bool,
 }
 
-impl Link {
+impl Transport {
     /// The connection at rest after an answer with these headers, if the peer keeps it.
-    pub(super) fn rest(self, headers: &HeaderMap) -> Option<Resting> {
-        let rest = rest_time(headers);
-        if rest == Duration::ZERO || self.sender.is_closed() {
+    pub(super) fn into_idle(self, headers: &HeaderMap) -> Option<IdleConnection> {
+        let keep_alive = keep_alive_time(headers);
+        if keep_alive == Duration::ZERO || self.sender.is_closed() {
             return None;
         }
-        Some(Resting { link: self, until: Instant::now() + rest })
+        Some(IdleConnection { transport: self, expires_at: Instant::now() + keep_alive })
     }
 }
 
-impl Drop for Link {
+impl Drop for Transport {
     fn drop(&mut self) {
-        if !self.clean {
-            self.guard.give_up();
+        if !self.is_clean {
+            self.guard.reset_if_unacknowledged();
         }
         self.task.abort();
     }
 }
 
 /// A connection on which nothing is under way.
-pub struct Ready {
-    link: Link,
+pub struct ReadyConnection {
+    transport: Transport,
 }
 
-impl Ready {
+impl ReadyConnection {
     /// Connects to `addr`.
-    pub async fn connect(addr: SocketAddr) -> Option<Ready> {
-        Ready::over(tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await.ok()?.ok()?).await
+    pub async fn connect(addr: SocketAddr) -> Option<ReadyConnection> {
+        ReadyConnection::over(
+            tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await.ok()?.ok()?,
+        )
+        .await
     }
 
     /// A connection over a socket that is connected already.
-    pub async fn over(tcp: TcpStream) -> Option<Ready> {
+    pub async fn over(tcp: TcpStream) -> Option<ReadyConnection> {
         let _ = tcp.set_nodelay(true);
-        crate::daemon::links::watch(&tcp, SILENCE_TIMEOUT);
+        crate::daemon::links::limit_unacknowledged_time(&tcp, UNACKNOWLEDGED_TIMEOUT);
         let guard = Arc::new(Guard::default());
         let io = TokioIo::new(GuardedStream::new(tcp, guard.clone()));
         let (mut sender, connection) = http1::handshake(io).await.ok()?;
@@ -90,60 +93,60 @@
         });
         let task = task.abort_handle();
         sender.ready().await.ok()?;
-        Some(Ready { link: Link { sender, guard, task, used: false, clean: true } })
+        Some(ReadyConnection { transport: Transport { sender, guard, task, is_used: false, is_clean: true } })
     }
 
     /// Whether an earlier request went over this connection.
     pub fn is_used(&self) -> bool {
-        self.link.used
+        self.transport.is_used
     }
 
     /// Sends the request, unless `check` refuses as its first byte is about to be written.
     pub async fn send(mut self, request: Request<Full<Bytes>>, check: Check) -> Result<Exchange, SendError> {
-        self.link.clean = false;
-        self.link.used = true;
-        self.link.guard.arm(check);
-        match self.link.sender.send_request(request).await {
-            Ok(response) => Ok(Exchange::new(self.link, response)),
-            Err(_) if self.link.guard.barred() => Err(SendError::Barred),
-            Err(_) if self.link.guard.wrote() => Err(SendError::Unsure),
+        self.transport.is_clean = false;
+        self.transport.is_used = true;
+        self.transport.guard.arm(check);
+        match self.transport.sender.send_request(request).await {
+            Ok(response) => Ok(Exchange::new(self.transport, response)),
+            Err(_) if self.transport.guard.refused() => Err(SendError::RefusedByCheck),
+            Err(_) if self.transport.guard.has_written() => Err(SendError::MaybeSent),
             Err(_) => Err(SendError::NotSent),
         }
     }
 }
 
 /// A connection whose last answer was read to its end; what else came or is still to be sent is not yet known.
-pub struct Resting {
-    link: Link,
-    until: Instant,
+pub struct IdleConnection {
+    transport: Transport,
+    expires_at: Instant,
 }
 
-impl Resting {
+impl IdleConnection {
     /// Whether the peer may close the connection at any moment now.
     pub fn is_expired(&self, now: Instant) -> bool {
-        now >= self.until || self.link.sender.is_closed()
+        now >= self.expires_at || self.transport.sender.is_closed()
     }
 
     /// The connection, if the whole of the last request was written, the peer keeps it open, and not a byte came
     /// after the last answer.
-    pub fn wake(mut self, now: Instant) -> Option<Ready> {
-        let link = &self.link;
-        let written = link.sender.is_ready() && link.guard.is_flushed();
-        if !written || self.is_expired(now) || !self.link.guard.is_quiet() {
+    pub fn into_ready(mut self, now: Instant) -> Option<ReadyConnection> {
+        let transport = &self.transport;
+        let written = transport.sender.is_ready() && transport.guard.is_flushed();
+        if !written || self.is_expired(now) || !self.transport.guard.has_no_pending_input() {
             return None;
         }
-        self.link.clean = true;
-        Some(Ready { link: self.link })
+        self.transport.is_clean = true;
+        Some(ReadyConnection { transport: self.transport })
     }
 
     /// Ends a connection that is not needed any more.
     pub fn close(mut self) {
-        self.link.clean = self.link.sender.is_ready() && self.link.guard.is_flushed();
+        self.transport.is_clean = self.transport.sender.is_ready() && self.transport.guard.is_flushed();
     }
 }
 
 /// How long a connection may rest, by the words of the answer; zero if the peer closes it.
-fn rest_time(headers: &HeaderMap) -> Duration {
+fn keep_alive_time(headers: &HeaderMap) -> Duration {
     let closes = headers
         .get_all("connection")
         .iter()
@@ -158,9 +161,9 @@
         .and_then(|v| v.to_str().ok())
         .and_then(|text| text.split(',').find_map(|word| word.trim().strip_prefix("timeout=")));
     match named.map(|seconds| seconds.parse::<u64>()) {
-        None => DEFAULT_REST,
+        None => DEFAULT_KEEP_ALIVE,
         Some(Ok(seconds)) => {
-            Duration::from_millis(seconds.saturating_mul(1000).saturating_sub(REST_MARGIN_MS))
+            Duration::from_millis(seconds.saturating_mul(1000).saturating_sub(KEEP_ALIVE_MARGIN_MS))
         }
         Some(Err(_)) => Duration::ZERO,
     }
--- a/src/http/exchange.rs
+++ b/src/http/exchange.rs
@@ -1,6 +1,6 @@
 //! A request under way on a connection, and its answer once that was judged to belong to it.
 
-use super::connection::{Link, Resting};
+use super::connection::{IdleConnection, Transport};
 use crate::forwarding::AnswerEnd;
 use crate::protocol::ResponseOrigin;
 use bytes::{Bytes, BytesMut};
@@ -15,25 +15,25 @@
 
 /// A request that was sent and whose answer has a head, not yet known to belong to it.
 pub struct Exchange {
-    link: Link,
+    transport: Transport,
     response: Response<Incoming>,
 }
 
 /// An answer as its head was judged.
-pub enum Judged {
+pub enum Classified {
     /// The runner's own answer to this request.
-    Own(Answer),
+    Own(RunnerAnswer),
     /// The runner's word that it did not run the request.
-    NotRun(Answer),
+    NotExecuted(RunnerAnswer),
     /// The word that another runner, or none of this kind, is there; it did not run the request.
-    NotMine(Answer),
+    Misdirected(RunnerAnswer),
     /// No answer to this request; the connection is gone.
     Stray,
 }
 
 impl Exchange {
-    pub(super) fn new(link: Link, response: Response<Incoming>) -> Exchange {
-        Exchange { link, response }
+    pub(super) fn new(transport: Transport, response: Response<Incoming>) -> Exchange {
+        Exchange { transport, response }
     }
 
     /// The status of the answer.
@@ -47,24 +47,25 @@
     }
 
     /// Keeps the answer only if `judge` finds that it belongs to the request. An interim status never does.
-    pub fn judge(self, judge: impl FnOnce(u16, &HeaderMap) -> ResponseOrigin) -> Judged {
+    pub fn judge(self, judge: impl FnOnce(u16, &HeaderMap) -> ResponseOrigin) -> Classified {
         if self.response.status().is_informational() {
-            return Judged::Stray;
+            return Classified::Stray;
         }
         let verdict = judge(self.status(), self.headers());
-        let end = end_of(&self.response);
-        let answer = Answer { link: self.link, response: self.response, end, whole: false };
+        let end = end_marking(&self.response);
+        let answer =
+            RunnerAnswer { transport: self.transport, response: self.response, end, is_read_to_end: false };
         match verdict {
-            ResponseOrigin::Own => Judged::Own(answer),
-            ResponseOrigin::NotExecuted => Judged::NotRun(answer),
-            ResponseOrigin::Misdirected => Judged::NotMine(answer),
-            ResponseOrigin::Stray => Judged::Stray,
+            ResponseOrigin::Own => Classified::Own(answer),
+            ResponseOrigin::NotExecuted => Classified::NotExecuted(answer),
+            ResponseOrigin::Misdirected => Classified::Misdirected(answer),
+            ResponseOrigin::Stray => Classified::Stray,
         }
     }
 }
 
 /// How the end of an answer is said that has not been read yet. One that can have no body is known to the library.
-fn end_of(response: &Response<Incoming>) -> AnswerEnd {
+fn end_marking(response: &Response<Incoming>) -> AnswerEnd {
     let headers = response.headers();
     let framed = headers.contains_key(TRANSFER_ENCODING) || headers.contains_key(CONTENT_LENGTH);
     match framed || response.body().is_end_stream() {
@@ -74,14 +75,14 @@
 }
 
 /// An answer that belongs to the request of its connection.
-pub struct Answer {
-    link: Link,
+pub struct RunnerAnswer {
+    transport: Transport,
     response: Response<Incoming>,
     end: AnswerEnd,
-    whole: bool,
+    is_read_to_end: bool,
 }
 
-impl Answer {
+impl RunnerAnswer {
     /// The status of the answer.
     pub fn status(&self) -> u16 {
         self.response.status().as_u16()
@@ -108,7 +109,7 @@
                 }
                 Some(Err(_)) => return Err(BodyBroken),
                 None => {
-                    self.whole = true;
+                    self.is_read_to_end = true;
                     return Ok(None);
                 }
             }
@@ -135,10 +136,10 @@
     }
 
     /// The connection at rest, if the answer was read to its end and the peer keeps the connection.
-    pub fn finish(self) -> Option<Resting> {
-        if !self.whole {
+    pub fn into_idle_connection(self) -> Option<IdleConnection> {
+        if !self.is_read_to_end {
             return None;
         }
-        self.link.rest(self.response.headers())
+        self.transport.into_idle(self.response.headers())
     }
 }
--- a/src/http/forward.rs
+++ b/src/http/forward.rs
@@ -1,6 +1,6 @@
 //! Forwarding one request: carries out what the forwarding's state machine decides.
 
-use super::answer::{OutBody, own, refused};
+use super::answer::{AnswerBody, coded_answer, refusal_answer};
 use super::attempt::{self, Attempt, AttemptEvent, ForwardedRequest};
 use super::body::{BodyWriter, streamed};
 use super::pool::Pool;
@@ -8,7 +8,7 @@
 use crate::forwarding::{In, Out, RequestFlow};
 use crate::gate::{Gate, Order, Plan};
 use crate::kernel::time::Clock;
-use crate::protocol::{CallerProtocol, Protocols, RunnerProtocol};
+use crate::protocol::{CallerProtocol, RunnerProtocol, Protocols};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::Response;
@@ -19,29 +19,29 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 
-const TICK: Duration = Duration::from_millis(50);
-const STALL: Duration = Duration::from_secs(30);
+const TICK_PERIOD: Duration = Duration::from_millis(50);
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The work on one request.
 pub struct Forwarder {
     pub gate: Arc<Mutex<Gate>>,
     pub pool: Arc<Pool>,
     pub clock: Arc<dyn Clock>,
-    pub shape: Arc<ForwardedRequest>,
+    pub forwarded: Arc<ForwardedRequest>,
     pub side: Arc<dyn RunnerProtocol>,
     pub caller: Arc<dyn CallerProtocol>,
     request: RequestFlow,
     attempts: BTreeMap<AttemptNo, JoinHandle<()>>,
-    heads: BTreeMap<AttemptNo, (u16, HeaderMap)>,
-    tx: mpsc::Sender<AttemptEvent>,
-    woken: mpsc::UnboundedSender<Plan>,
-    first: Option<oneshot::Sender<Response<OutBody>>>,
+    headers: BTreeMap<AttemptNo, (u16, HeaderMap)>,
+    event_tx: mpsc::Sender<AttemptEvent>,
+    wake_tx: mpsc::UnboundedSender<Plan>,
+    response_tx: Option<oneshot::Sender<Response<AnswerBody>>>,
     body: Option<BodyWriter>,
 }
 
 /// What became of one effect.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Acted {
+enum EffectOutcome {
     Done,
     /// The client takes no more, or not in time; no effect that was to follow may be carried out.
     ClientGone,
@@ -50,7 +50,7 @@
 /// A request to be forwarded.
 pub struct ForwardJob {
     pub order: Order,
-    pub shape: Arc<ForwardedRequest>,
+    pub forwarded: Arc<ForwardedRequest>,
     pub protocols: Protocols,
 }
 
@@ -60,51 +60,54 @@
     pool: Arc<Pool>,
     clock: Arc<dyn Clock>,
     job: ForwardJob,
-    first: oneshot::Sender<Response<OutBody>>,
+    response_tx: oneshot::Sender<Response<AnswerBody>>,
 ) {
-    let (tx, mut rx) = mpsc::channel(16);
-    let (woken, mut wakes) = mpsc::unbounded_channel();
-    let mut c = Forwarder {
+    let (event_tx, mut event_rx) = mpsc::channel(16);
+    let (wake_tx, mut wake_rx) = mpsc::unbounded_channel();
+    let mut forwarder = Forwarder {
         gate,
         pool,
         clock,
-        shape: job.shape,
+        forwarded: job.forwarded,
         side: job.protocols.runner,
         caller: job.protocols.caller,
         request: RequestFlow::new(job.order),
         attempts: BTreeMap::new(),
-        heads: BTreeMap::new(),
-        tx,
-        woken,
-        first: Some(first),
+        headers: BTreeMap::new(),
+        event_tx,
+        wake_tx,
+        response_tx: Some(response_tx),
         body: None,
     };
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(TICK_PERIOD);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    c.step(In::Go).await;
-    while !c.request.over {
-        let ev = tokio::select! {
-            Some(plan) = wakes.recv() => In::Woken(plan),
-            Some(ev) = rx.recv() => match ev {
-                AttemptEvent::Step(ev) => ev,
-                AttemptEvent::Head((attempt, status, heads)) => {
-                    c.heads.insert(attempt, (status, heads));
+    forwarder.step(In::Go).await;
+    while !forwarder.request.over {
+        let event = tokio::select! {
+            Some(plan) = wake_rx.recv() => In::Woken(plan),
+            Some(event) = event_rx.recv() => match event {
+                AttemptEvent::Step(event) => event,
+                AttemptEvent::Head((attempt, status, headers)) => {
+                    forwarder.headers.insert(attempt, (status, headers));
                     continue;
                 }
             },
-            _ = gone(&mut c.first, &c.body) => In::Gone,
+            _ = client_gone(&mut forwarder.response_tx, &forwarder.body) => In::Gone,
             _ = tick.tick() => In::Tick,
         };
-        c.step(ev).await;
+        forwarder.step(event).await;
     }
-    wakes.close();
-    while let Ok(plan) = wakes.try_recv() {
-        c.step(In::Woken(plan)).await;
+    wake_rx.close();
+    while let Ok(plan) = wake_rx.try_recv() {
+        forwarder.step(In::Woken(plan)).await;
     }
 }
 
-async fn gone(first: &mut Option<oneshot::Sender<Response<OutBody>>>, body: &Option<BodyWriter>) {
-    match (first, body) {
+async fn client_gone(
+    response_tx: &mut Option<oneshot::Sender<Response<AnswerBody>>>,
+    body: &Option<BodyWriter>,
+) {
+    match (response_tx, body) {
         (Some(f), _) => f.closed().await,
         (None, Some(b)) => b.closed().await,
         (None, None) => std::future::pending().await,
@@ -112,28 +115,28 @@
 }
 
 impl Forwarder {
-    async fn step(&mut self, ev: In) {
+    async fn step(&mut self, event: In) {
         let now = self.clock.now();
-        let outs = self.request.step(now, ev, &mut self.gate.lock().unwrap());
-        for out in outs {
-            if self.act(out).await == Acted::ClientGone {
-                return self.client_gone();
+        let effects = self.request.step(now, event, &mut self.gate.lock().unwrap());
+        for effect in effects {
+            if self.carry_out(effect).await == EffectOutcome::ClientGone {
+                return self.abandon();
             }
         }
     }
 
-    async fn act(&mut self, out: Out) -> Acted {
-        match out {
+    async fn carry_out(&mut self, effect: Out) -> EffectOutcome {
+        match effect {
             Out::Wait { avoid } => {
-                let woken = self.woken.clone();
-                let wake = Box::new(move |plan: Plan| woken.send(plan).map_err(|back| back.0));
+                let wake_tx = self.wake_tx.clone();
+                let wake = Box::new(move |plan: Plan| wake_tx.send(plan).map_err(|back| back.0));
                 let now = self.clock.now();
                 self.gate.lock().unwrap().wait(now, self.request.order.clone(), avoid, wake);
             }
             Out::Open { attempt, runner, last } => self.open(attempt, runner, last),
             Out::Close { attempt } => {
-                if let Some(h) = self.attempts.remove(&attempt) {
-                    h.abort();
+                if let Some(task) = self.attempts.remove(&attempt) {
+                    task.abort();
                 }
             }
             Out::Head { attempt } => self.head(attempt),
@@ -147,52 +150,57 @@
                 log::info!(event = "answer-broken-off", service = self.request.order.service.to_string(), why = why; "");
                 self.body = None;
             }
-            Out::Refuse(r) => self.answer(refused(&*self.caller, &r)),
+            Out::Refuse(r) => self.answer(refusal_answer(&*self.caller, &r)),
             Out::Unknown(status, text) => {
-                self.answer(own(status, "outcome-unknown", text, 0, "unknown"));
+                self.answer(coded_answer(status, "outcome-unknown", text, 0, "unknown"));
             }
             Out::Told(what, text) => {
                 log::info!(event = what, service = self.request.order.service.to_string(), note = text; "");
             }
         }
-        Acted::Done
+        EffectOutcome::Done
     }
 
-    fn open(&mut self, no: AttemptNo, runner: crate::fleet::runner::Runner, last: Option<String>) {
+    fn open(
+        &mut self,
+        number: AttemptNo,
+        runner: crate::fleet::runner::Runner,
+        last_event_id: Option<String>,
+    ) {
         let check = {
             let (gate, clock) = (self.gate.clone(), self.clock.clone());
             let (order, name) = (self.request.order.clone(), runner.instance.clone());
             move || gate.lock().unwrap().check(clock.now(), &order, &name).err()
         };
-        let again = check.clone();
+        let cause = check.clone();
         let job = Attempt {
-            no,
+            number,
             runner,
-            last,
+            last_event_id,
             order: self.request.order.clone(),
             side: self.side.clone(),
             clock: self.clock.clone(),
-            shape: self.shape.clone(),
+            request: self.forwarded.clone(),
             pool: self.pool.clone(),
             check: Arc::new(move || check().is_none()),
-            why: Box::new(again),
-            tx: self.tx.clone(),
+            refusal_cause: Box::new(cause),
+            events: self.event_tx.clone(),
         };
-        self.attempts.insert(no, tokio::spawn(attempt::run(job)));
+        self.attempts.insert(number, tokio::spawn(attempt::run(job)));
     }
 
-    fn answer(&mut self, response: Response<OutBody>) {
-        if let Some(first) = self.first.take() {
-            let _ = first.send(response);
+    fn answer(&mut self, response: Response<AnswerBody>) {
+        if let Some(response_tx) = self.response_tx.take() {
+            let _ = response_tx.send(response);
         }
     }
 
     fn head(&mut self, attempt: AttemptNo) {
-        let Some((status, heads)) = self.heads.remove(&attempt) else { return };
+        let Some((status, headers)) = self.headers.remove(&attempt) else { return };
         let (writer, body) = streamed();
         let mut response = Response::new(body.boxed_unsync());
         *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-        *response.headers_mut() = heads;
+        *response.headers_mut() = headers;
         if self.request.stream {
             response.headers_mut().remove("content-length");
         }
@@ -200,17 +208,21 @@
         self.answer(response);
     }
 
-    async fn pass(&mut self, bytes: Bytes) -> Acted {
-        let Some(body) = &self.body else { return Acted::Done };
-        let by = self.request.order.whole_by.map_or(STALL, |by| by.since(self.clock.now()).as_std());
-        match tokio::time::timeout(STALL.min(by), body.send(bytes)).await {
-            Ok(Ok(())) => Acted::Done,
-            _ => Acted::ClientGone,
+    async fn pass(&mut self, bytes: Bytes) -> EffectOutcome {
+        let Some(body) = &self.body else { return EffectOutcome::Done };
+        let left = self
+            .request
+            .order
+            .whole_by
+            .map_or(CLIENT_STALL_TIMEOUT, |by| by.since(self.clock.now()).as_std());
+        match tokio::time::timeout(CLIENT_STALL_TIMEOUT.min(left), body.send(bytes)).await {
+            Ok(Ok(())) => EffectOutcome::Done,
+            _ => EffectOutcome::ClientGone,
         }
     }
 
     /// The client takes no more, or not in time: its answer is broken off and nothing of its request goes on.
-    fn client_gone(&mut self) {
+    fn abandon(&mut self) {
         self.body = None;
         let now = self.clock.now();
         self.request.step(now, In::Gone, &mut self.gate.lock().unwrap());
@@ -228,8 +240,8 @@
         {
             self.request.step(self.clock.now(), In::Gone, &mut gate);
         }
-        for h in self.attempts.values() {
-            h.abort();
+        for task in self.attempts.values() {
+            task.abort();
         }
     }
 }
--- a/src/http/guard.rs
+++ b/src/http/guard.rs
@@ -18,37 +18,37 @@
 #[derive(Default)]
 pub struct Guard {
     check: Mutex<Option<Check>>,
-    wrote: AtomicBool,
-    barred: AtomicBool,
-    unflushed: AtomicBool,
+    has_written: AtomicBool,
+    refused: AtomicBool,
+    has_unflushed: AtomicBool,
     socket: Mutex<Option<RawFd>>,
 }
 
 impl Guard {
     /// Prepares for the next request: `check` decides when its first byte is about to be written.
     pub fn arm(&self, check: Check) {
-        self.wrote.store(false, Ordering::SeqCst);
-        self.barred.store(false, Ordering::SeqCst);
+        self.has_written.store(false, Ordering::SeqCst);
+        self.refused.store(false, Ordering::SeqCst);
         *self.check.lock().unwrap() = Some(check);
     }
 
     /// Whether any byte went out since the guard was armed.
-    pub fn wrote(&self) -> bool {
-        self.wrote.load(Ordering::SeqCst)
+    pub fn has_written(&self) -> bool {
+        self.has_written.load(Ordering::SeqCst)
     }
 
     /// Whether the check refused the request, so that none of its bytes went out.
-    pub fn barred(&self) -> bool {
-        self.barred.load(Ordering::SeqCst)
+    pub fn refused(&self) -> bool {
+        self.refused.load(Ordering::SeqCst)
     }
 
     /// Whether all bytes that were given to the connection have reached the socket.
     pub fn is_flushed(&self) -> bool {
-        !self.unflushed.load(Ordering::SeqCst)
+        !self.has_unflushed.load(Ordering::SeqCst)
     }
 
     /// Whether the peer has neither closed the connection nor sent a byte that nobody has read.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_pending_input(&self) -> bool {
         let socket = self.socket.lock().unwrap();
         let Some(fd) = *socket else { return false };
         let mut byte = 0u8;
@@ -60,10 +60,10 @@
     /// Prepares the socket for the end of a request that nobody waits for any more. If the peer has not yet
     /// acknowledged all of it, the close becomes a reset: what waits in the kernel is dropped, not sent later.
     /// Else it stays an ordinary close, which is repeated until the peer has heard it.
-    pub fn give_up(&self) {
+    pub fn reset_if_unacknowledged(&self) {
         let socket = self.socket.lock().unwrap();
         let Some(fd) = *socket else { return };
-        if self.is_flushed() && unacknowledged(fd) == Some(0) {
+        if self.is_flushed() && unacknowledged_bytes(fd) == Some(0) {
             return;
         }
         if let Err(fault) = reset_on_close(&fd, true) {
@@ -71,20 +71,20 @@
         }
     }
 
-    fn pass(&self) -> bool {
+    fn admit(&self) -> bool {
         let mut check = self.check.lock().unwrap();
         if let Some(c) = check.take()
             && !c()
         {
-            self.barred.store(true, Ordering::SeqCst);
+            self.refused.store(true, Ordering::SeqCst);
             return false;
         }
-        !self.barred()
+        !self.refused()
     }
 }
 
 /// The bytes that were written to a socket and that its peer has not acknowledged.
-pub(super) fn unacknowledged(fd: RawFd) -> Option<libc::c_int> {
+pub(super) fn unacknowledged_bytes(fd: RawFd) -> Option<libc::c_int> {
     let mut bytes: libc::c_int = 0;
     let done = unsafe { libc::ioctl(fd, libc::TIOCOUTQ, &raw mut bytes) };
     (done == 0).then_some(bytes)
@@ -119,15 +119,15 @@
 impl AsyncWrite for GuardedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let me = self.get_mut();
-        if !me.guard.pass() {
+        if !me.guard.admit() {
             return Poll::Ready(Err(io::Error::other("the request may no longer be sent")));
         }
-        me.guard.unflushed.store(true, Ordering::SeqCst);
+        me.guard.has_unflushed.store(true, Ordering::SeqCst);
         let done = Pin::new(&mut me.tcp).poll_write(cx, buf);
         if let Poll::Ready(Ok(n)) = &done
             && *n > 0
         {
-            me.guard.wrote.store(true, Ordering::SeqCst);
+            me.guard.has_written.store(true, Ordering::SeqCst);
         }
         done
     }
@@ -136,7 +136,7 @@
         let me = self.get_mut();
         let done = Pin::new(&mut me.tcp).poll_flush(cx);
         if let Poll::Ready(Ok(())) = &done {
-            me.guard.unflushed.store(false, Ordering::SeqCst);
+            me.guard.has_unflushed.store(false, Ordering::SeqCst);
         }
         done
     }
--- a/src/http/linger.rs
+++ b/src/http/linger.rs
@@ -6,8 +6,8 @@
 
 /// Makes the close of `socket`, by the program or by its end, a reset that drops what was not yet acknowledged; or,
 /// without `on`, an ordinary close again.
-pub fn reset_on_close(socket: &impl AsRawFd, on: bool) -> io::Result<()> {
-    let linger = libc::linger { l_onoff: on.into(), l_linger: 0 };
+pub fn reset_on_close(socket: &impl AsRawFd, is_enabled: bool) -> io::Result<()> {
+    let linger = libc::linger { l_onoff: is_enabled.into(), l_linger: 0 };
     let size = std::mem::size_of_val(&linger) as libc::socklen_t;
     let at = (&raw const linger).cast();
     match unsafe { libc::setsockopt(socket.as_raw_fd(), libc::SOL_SOCKET, libc::SO_LINGER, at, size) } {
--- a/src/http/own.rs
+++ b/src/http/native.rs
@@ -17,24 +17,24 @@
 /// The header that holds a tenant's key.
 const KEY_HEADER: &str = "x-spindledock-key";
 /// The header that tells a runner whose request it is.
-const TENANT: &str = "x-spindledock-tenant";
+const TENANT_HEADER: &str = "x-spindledock-tenant";
 
-pub struct OwnCaller;
-pub struct OwnRunner;
+pub struct NativeCaller;
+pub struct NativeRunner;
 
-impl CallerProtocol for OwnCaller {
-    fn take_api_key(&self, heads: &mut HeaderMap) -> Option<KeyDigest> {
-        let key = heads.remove(KEY_HEADER)?;
+impl CallerProtocol for NativeCaller {
+    fn take_api_key(&self, headers: &mut HeaderMap) -> Option<KeyDigest> {
+        let key = headers.remove(KEY_HEADER)?;
         Some(KeyDigest::of(key.as_bytes()))
     }
 
     fn read_params(
         &self,
-        heads: &HeaderMap,
+        headers: &HeaderMap,
         body: &[u8],
         assistant: bool,
     ) -> Result<RequestParams, &'static str> {
-        let last = heads.get("last-event-id").and_then(|v| v.to_str().ok()).map(|s| s.to_string());
+        let last = headers.get("last-event-id").and_then(|v| v.to_str().ok()).map(|s| s.to_string());
         let mut out = RequestParams { last, ..RequestParams::default() };
         if !assistant {
             return Ok(out);
@@ -66,7 +66,7 @@
     }
 }
 
-pub fn call(method: &str, path: &str, r: &Runner, body: String) -> Call {
+pub fn runner_call(method: &str, path: &str, r: &Runner, body: String) -> Call {
     Request::builder()
         .method(method)
         .uri(path)
@@ -77,24 +77,24 @@
         .expect("a valid order")
 }
 
-impl RunnerProtocol for OwnRunner {
+impl RunnerProtocol for NativeRunner {
     fn add_request_headers(
         &self,
-        heads: &mut HeaderMap,
+        headers: &mut HeaderMap,
         runner: &Runner,
         order: &Order,
         last: Option<&str>,
         _left: Span,
     ) {
         if let Ok(target) = HeaderValue::from_str(&runner.instance.0) {
-            heads.insert(HeaderName::from_static("x-target-instance"), target);
+            headers.insert(HeaderName::from_static("x-target-instance"), target);
         }
-        heads.remove(TENANT);
+        headers.remove(TENANT_HEADER);
         if let Some(name) = tenant_value(order) {
-            heads.insert(HeaderName::from_static(TENANT), name);
+            headers.insert(HeaderName::from_static(TENANT_HEADER), name);
         }
         if let Some(id) = last.and_then(|id| HeaderValue::from_str(id).ok()) {
-            heads.insert(HeaderName::from_static("last-event-id"), id);
+            headers.insert(HeaderName::from_static("last-event-id"), id);
         }
     }
 
@@ -111,7 +111,7 @@
     }
 
     fn report(&self, runner: &Runner) -> Call {
-        call("GET", "/spindle/report", runner, String::new())
+        runner_call("GET", "/spindle/report", runner, String::new())
     }
 
     fn read_report(&self, runner: &Runner, body: &[u8]) -> Option<RunnerReport> {
@@ -129,6 +129,6 @@
             ("expected", o.expected.into()),
         ]);
         let path = if o.load { "/spindle/load" } else { "/spindle/unload" };
-        call("POST", path, &o.runner, body.to_string())
+        runner_call("POST", path, &o.runner, body.to_string())
     }
 }
--- a/src/http/quota.rs
+++ b/src/http/quota.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 /// What a client is told to wait whose tenant's quota nobody could count.
-const UNANSWERED_RETRY_S: u64 = 1;
+const UNANSWERED_RETRY_AFTER_S: u64 = 1;
 
 /// Waits for a token, at most until the request's due. Requests without a tenant or without a quota need none.
 pub async fn take_token(table: &Table, clock: &dyn Clock, order: &Order) -> Result<(), Refusal> {
@@ -20,16 +20,16 @@
     let wake = Box::new(move |decision| told.send(decision).is_ok());
     let at_once = table.quota.lock().unwrap().request(clock.now(), &tenant.name, order.due, wake);
     match at_once {
-        Some(decided) => outcome(decided),
-        None => outcome(decision.await.unwrap_or(QuotaDecision::Unanswered)),
+        Some(decided) => admission_result(decided),
+        None => admission_result(decision.await.unwrap_or(QuotaDecision::Unanswered)),
     }
 }
 
 /// What a request is told that gets no token.
-pub fn outcome(decision: QuotaDecision) -> Result<(), Refusal> {
+pub fn admission_result(decision: QuotaDecision) -> Result<(), Refusal> {
     match decision {
         QuotaDecision::Granted => Ok(()),
         QuotaDecision::Blocked(wait) => Err(Refusal::after(Why::OverQuota, wait)),
-        QuotaDecision::Unanswered => Err(Refusal::new(Why::NoQuotaAnswer, UNANSWERED_RETRY_S)),
+        QuotaDecision::Unanswered => Err(Refusal::new(Why::NoQuotaAnswer, UNANSWERED_RETRY_AFTER_S)),
     }
 }
--- a/src/http/serve.rs
+++ b/src/http/request_service.rs
@@ -1,4 +1,4 @@
-use super::answer::{OutBody, own, refused, too_slow};
+use super::answer::{AnswerBody, coded_answer, refusal_answer, timeout_answer};
 use super::attempt::{ForwardedRequest, end_to_end};
 use super::client::ClientConnections;
 use super::forward::{ForwardJob, forward};
@@ -20,25 +20,25 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use tokio::sync::oneshot;
 
-pub struct Front {
+pub struct RequestService {
     pub table: Arc<Table>,
     pub pool: Arc<Pool>,
     pub clock: Arc<dyn Clock>,
-    pub leaving: AtomicBool,
-    pub stopping: AtomicBool,
-    pub next: AtomicU64,
-    pub open: AtomicU64,
-    pub seen: super::sender::Seen,
+    pub is_leaving: AtomicBool,
+    pub is_stopping: AtomicBool,
+    pub next_id: AtomicU64,
+    pub open_requests: AtomicU64,
+    pub recent: super::recent_requests::RecentRequests,
     pub clients: Arc<ClientConnections>,
     pub protocols: Protocols,
 }
 
 /// What a runner that stops at the end of its time has for its last word to arrive.
-const LAST_WORD: Span = Span::ms(100);
+const FINAL_EVENT_GRACE: Span = Span::ms(100);
 
-struct Counted<'a>(&'a AtomicU64);
+struct OpenRequestCount<'a>(&'a AtomicU64);
 
-impl Drop for Counted<'_> {
+impl Drop for OpenRequestCount<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -55,38 +55,38 @@
     (first + rows.sum::<usize>() + END) as u64
 }
 
-impl Front {
+impl RequestService {
     /// Takes over the newest limits and ends the connections of clients that are over them.
     pub fn sweep(&self) {
         self.clients.sweep(self.table.limits());
     }
 
-    pub async fn answer(self: Arc<Front>, order: Request<Incoming>) -> Response<OutBody> {
+    pub async fn answer(self: Arc<RequestService>, request: Request<Incoming>) -> Response<AnswerBody> {
         let me = self.clone();
-        let mut out = self.served(order).await;
-        if me.leaving.load(Ordering::SeqCst) {
+        let mut out = self.handle(request).await;
+        if me.is_leaving.load(Ordering::SeqCst) {
             out.headers_mut().insert("connection", HeaderValue::from_static("close"));
         }
         out
     }
 
-    async fn served(self: Arc<Front>, order: Request<Incoming>) -> Response<OutBody> {
-        self.open.fetch_add(1, Ordering::SeqCst);
-        let _counted = Counted(&self.open);
-        if self.stopping.load(Ordering::SeqCst) {
-            return refused(&*self.protocols.caller, &Refusal::new(Why::Stopping, 1));
+    async fn handle(self: Arc<RequestService>, request: Request<Incoming>) -> Response<AnswerBody> {
+        self.open_requests.fetch_add(1, Ordering::SeqCst);
+        let _count = OpenRequestCount(&self.open_requests);
+        if self.is_stopping.load(Ordering::SeqCst) {
+            return refusal_answer(&*self.protocols.caller, &Refusal::new(Why::Stopping, 1));
         }
-        if head_bytes(&order) > self.clients.limits().head_bytes {
+        if head_bytes(&request) > self.clients.limits().head_bytes {
             let text = "the request's head is over the configured limit; send a smaller one";
-            return own(431, "head-too-large", text, 0, "refused");
+            return coded_answer(431, "head-too-large", text, 0, "refused");
         }
         let now = self.clock.now();
-        let host = order.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or("").to_string();
+        let host = request.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or("").to_string();
         let Some((routes_version, routes)) = self.table.fresh_routes(now) else {
-            return refused(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
+            return refusal_answer(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
         };
-        let Some(row) = routes.find(&host, order.uri().path()) else {
-            return own(
+        let Some(row) = routes.find(&host, request.uri().path()) else {
+            return coded_answer(
                 404,
                 "unknown-route",
                 "no service has this route; see the configuration",
@@ -94,7 +94,7 @@
                 "refused",
             );
         };
-        let (mut parts, body) = order.into_parts();
+        let (mut parts, body) = request.into_parts();
         let key = self.protocols.caller.take_api_key(&mut parts.headers);
         let admission = match admit(&routes, row, key) {
             Ok(admission) => admission,
@@ -105,16 +105,22 @@
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
                 let text = format!("the body is over {} KB; send a smaller one", row.route.body_kb);
-                return own(413, "body-too-large", &text, 0, "refused");
+                return coded_answer(413, "body-too-large", &text, 0, "refused");
             }
-            Err(_) => return too_slow(),
+            Err(_) => return timeout_answer(),
             Ok(Err(_)) => {
-                return own(400, "body-unread", "the body did not arrive whole; send it again", 0, "refused");
+                return coded_answer(
+                    400,
+                    "body-unread",
+                    "the body did not arrive whole; send it again",
+                    0,
+                    "refused",
+                );
             }
         };
-        let mut heads = end_to_end(&parts.headers);
-        heads.remove("x-target-instance");
-        let order = match self.order(row, now, &heads, &body) {
+        let mut headers = end_to_end(&parts.headers);
+        headers.remove("x-target-instance");
+        let order = match self.build_order(row, now, &headers, &body) {
             Ok(order) => Order {
                 host: host.as_str().into(),
                 path: parts.uri.path().into(),
@@ -126,58 +132,60 @@
             Err(answer) => return *answer,
         };
         if let Err(over) = take_token(&self.table, &*self.clock, &order).await {
-            return refused(&*self.protocols.caller, &over);
+            return refusal_answer(&*self.protocols.caller, &over);
         }
         let Some(gate) = self.table.gate(&order.service) else {
-            return refused(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
+            return refusal_answer(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
         };
-        self.seen.add(&order, &host, parts.uri.path(), body.len());
+        self.recent.add(&order, &host, parts.uri.path(), body.len());
         let uri = parts.uri.path_and_query().map_or("/", |p| p.as_str()).parse().unwrap_or_default();
-        let shape = Arc::new(ForwardedRequest { method: parts.method, uri, heads, body });
+        let forwarded = Arc::new(ForwardedRequest { method: parts.method, uri, headers, body });
         let (tx, rx) = oneshot::channel();
         let work = forward(
             gate,
             self.pool.clone(),
             self.clock.clone(),
-            ForwardJob { order, shape, protocols: self.protocols.clone() },
+            ForwardJob { order, forwarded, protocols: self.protocols.clone() },
             tx,
         );
         let me = self.clone();
-        self.open.fetch_add(1, Ordering::SeqCst);
+        self.open_requests.fetch_add(1, Ordering::SeqCst);
         tokio::spawn(async move {
-            let _counted = Counted(&me.open);
+            let _count = OpenRequestCount(&me.open_requests);
             work.await;
         });
         match rx.await {
             Ok(answer) => answer,
-            Err(_) => own(502, "outcome-unknown", "the order was dropped; it may have run", 0, "unknown"),
+            Err(_) => {
+                coded_answer(502, "outcome-unknown", "the order was dropped; it may have run", 0, "unknown")
+            }
         }
     }
 
     /// What a client without a known key is told; nothing of its key is in it.
-    fn unknown_key(&self, row: &RouteRow) -> Response<OutBody> {
+    fn unknown_key(&self, row: &RouteRow) -> Response<AnswerBody> {
         if let Some(gate) = self.table.gate(&row.service) {
             gate.lock().unwrap().count("refused_unknown_key");
         }
-        refused(&*self.protocols.caller, &Refusal::new(Why::UnknownKey, 0))
+        refusal_answer(&*self.protocols.caller, &Refusal::new(Why::UnknownKey, 0))
     }
 
-    fn order(
+    fn build_order(
         &self,
         row: &RouteRow,
         now: Time,
-        heads: &HeaderMap,
+        headers: &HeaderMap,
         body: &Bytes,
-    ) -> Result<Order, Box<Response<OutBody>>> {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+    ) -> Result<Order, Box<Response<AnswerBody>>> {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let service = row.pick(id ^ now.0).clone();
         let gate = self.table.gate(&service);
         let sort = gate.and_then(|g| g.lock().unwrap().slice.as_ref().map(|s| s.service.sort));
-        let keys = match self.protocols.caller.read_params(heads, body, sort == Some(ServiceKind::Assistant))
-        {
-            Ok(keys) => keys,
-            Err(text) => return Err(Box::new(own(400, "bad-order", text, 0, "refused"))),
-        };
+        let keys =
+            match self.protocols.caller.read_params(headers, body, sort == Some(ServiceKind::Assistant)) {
+                Ok(keys) => keys,
+                Err(text) => return Err(Box::new(coded_answer(400, "bad-order", text, 0, "refused"))),
+            };
         let most = Span::ms(row.route.due_ms);
         let left = keys.due.map_or(most, |d| d.min(most));
         Ok(Order {
@@ -190,7 +198,7 @@
             resumable: row.route.resumable,
             due: now + self.protocols.caller.max_wait(left, &row.route),
             end: now + left,
-            whole_by: self.protocols.caller.deadline_covers_body().then_some(now + left + LAST_WORD),
+            whole_by: self.protocols.caller.deadline_covers_body().then_some(now + left + FINAL_EVENT_GRACE),
             last: keys.last.filter(|_| row.route.resumable),
             kind: row.route.kind,
             tries: row.route.tries,
--- a/src/http/served_body.rs
+++ b/src/http/served_body.rs
@@ -1,6 +1,6 @@
 //! The body of an answer on a client's connection.
 
-use super::answer::{Broken, OutBody};
+use super::answer::{AnswerBody, BodyError};
 use super::client::ClientConnection;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -10,31 +10,34 @@
 
 /// The body of an answer; when it was taken over whole, its connection has only to be flushed.
 pub struct ServedBody {
-    body: OutBody,
+    body: AnswerBody,
     connection: Arc<ClientConnection>,
 }
 
 impl ServedBody {
     /// `body` as the answer on `connection`.
-    pub fn new(body: OutBody, connection: Arc<ClientConnection>) -> ServedBody {
+    pub fn new(body: AnswerBody, connection: Arc<ClientConnection>) -> ServedBody {
         ServedBody { body, connection }
     }
 }
 
 impl Drop for ServedBody {
     fn drop(&mut self) {
-        self.connection.taken();
+        self.connection.body_taken();
     }
 }
 
 impl Body for ServedBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = Pin::new(&mut self.body).poll_frame(cx);
         if let Poll::Ready(Some(Err(_))) = &frame {
-            self.connection.break_off();
+            self.connection.mark_broken_off();
         }
         frame
     }
--- a/src/launch/bench.rs
+++ b/src/launch/bench.rs
@@ -1,5 +1,5 @@
 use super::trial::Trial;
-use crate::http::pool::{Pool, open};
+use crate::http::pool::{Pool, always_allowed};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -14,7 +14,7 @@
 
 async fn one(pool: &Pool, addr: SocketAddr, path: &str, runner: &str) -> Option<u64> {
     let began = Instant::now();
-    let done = pool.whole(addr, order(path, runner), Duration::from_secs(5), open()).await.ok()?;
+    let done = pool.fetch(addr, order(path, runner), Duration::from_secs(5), always_allowed()).await.ok()?;
     (done.0 == 200).then(|| began.elapsed().as_micros() as u64)
 }
 
--- a/src/platform/caller.rs
+++ b/src/platform/caller.rs
@@ -5,18 +5,18 @@
 use crate::protocol::{CallerProtocol, RequestParams, adapter_name};
 use hyper::header::HeaderMap;
 
-const SILENCE_MS: u64 = 2000;
+const FIRST_EVENT_WAIT_MIN_MS: u64 = 2000;
 
 /// The header that holds a tenant's key and nothing else.
 const KEY_HEADER: &str = "api-key";
 
-pub struct Caller;
+pub struct PlatformCaller;
 
-fn text<'a>(heads: &'a HeaderMap, key: &str) -> Option<&'a str> {
-    heads.get(key).and_then(|v| v.to_str().ok()).map(|t| t.trim())
+fn header_text<'a>(headers: &'a HeaderMap, key: &str) -> Option<&'a str> {
+    headers.get(key).and_then(|v| v.to_str().ok()).map(|t| t.trim())
 }
 
-fn parts(text: &str) -> Option<Vec<(u64, u32)>> {
+fn prompt_parts(text: &str) -> Option<Vec<(u64, u32)>> {
     let one = |row: &str| {
         let (id, n) = row.trim().split_once(':')?;
         Some((u64::from_str_radix(id, 16).ok()?, n.parse().ok()?))
@@ -24,29 +24,29 @@
     text.split(',').filter(|r| !r.trim().is_empty()).map(one).collect()
 }
 
-impl CallerProtocol for Caller {
-    fn take_api_key(&self, heads: &mut HeaderMap) -> Option<KeyDigest> {
-        let key = heads.remove(KEY_HEADER)?;
+impl CallerProtocol for PlatformCaller {
+    fn take_api_key(&self, headers: &mut HeaderMap) -> Option<KeyDigest> {
+        let key = headers.remove(KEY_HEADER)?;
         Some(KeyDigest::of(key.as_bytes()))
     }
 
     fn read_params(
         &self,
-        heads: &HeaderMap,
+        headers: &HeaderMap,
         _body: &[u8],
         _assistant: bool,
     ) -> Result<RequestParams, &'static str> {
         let mut out = RequestParams {
-            last: text(heads, "last-event-id").map(|t| t.to_string()),
+            last: header_text(headers, "last-event-id").map(|t| t.to_string()),
             ..RequestParams::default()
         };
-        if let Some(ms) = text(heads, "x-deadline-ms") {
+        if let Some(ms) = header_text(headers, "x-deadline-ms") {
             let Some(ms) = ms.parse::<f64>().ok().filter(|n| n.is_finite()) else {
                 return Err("X-Deadline-Ms is no number of milliseconds; send one");
             };
             out.due = Some(Span((ms.max(0.0) * 1000.0) as u64));
         }
-        if let Some(name) = text(heads, "x-model") {
+        if let Some(name) = header_text(headers, "x-model") {
             match name.split_once('/') {
                 Some((model, adapter)) => {
                     out.model = model.into();
@@ -55,11 +55,11 @@
                 None => out.model = name.into(),
             }
         }
-        if let Some((prompt, most)) = text(heads, "x-token-count").and_then(|t| t.split_once(',')) {
+        if let Some((prompt, most)) = header_text(headers, "x-token-count").and_then(|t| t.split_once(',')) {
             let num = |t: &str| t.trim().parse().unwrap_or(0);
             out.size = Size { prompt: num(prompt), out: num(most) };
         }
-        if let Some(rows) = text(heads, "x-prompt-prefix").and_then(parts) {
+        if let Some(rows) = header_text(headers, "x-prompt-prefix").and_then(prompt_parts) {
             out.parts = rows.into();
         }
         Ok(out)
@@ -74,7 +74,7 @@
     }
 
     fn max_wait(&self, left: Span, route: &Route) -> Span {
-        let silence = Span::ms(SILENCE_MS.max(route.aim_ms * 4).max(route.gap_ms * 8));
+        let silence = Span::ms(FIRST_EVENT_WAIT_MIN_MS.max(route.aim_ms * 4).max(route.gap_ms * 8));
         let most = if route.kind == RouteKind::Stream { left.min(silence) } else { left };
         Span(most.0 * 45 / 100)
     }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,5 +1,5 @@
 use super::merge::{REQUIRED_LISTS, merge, parse};
-use super::operator::Figures;
+use super::operator::SettingsFigures;
 use super::tenants;
 use crate::fleet::FleetConfig;
 use crate::fleet::config::*;
@@ -9,16 +9,16 @@
 use crate::protocol::adapter_name;
 use std::collections::BTreeSet;
 
-const RANKS: [Class; 4] = [Class::Counter, Class::Chat, Class::Normal, Class::Bulk];
-const ADAPTER_MS: u64 = 10;
+const CLASS_BY_PRIORITY: [Class; 4] = [Class::Counter, Class::Chat, Class::Normal, Class::Bulk];
+const ADAPTER_LOAD_MS: u64 = 10;
 /// What a load from the runner's own disk takes of one from the store, in a hundred; the platform says only "sooner".
 const KEPT_LOAD_PERCENT: u64 = 30;
-const FINE: f64 = 10_000.0;
-const MAX_WEIGHT: f64 = 1e12;
-const MAX_ADAPTERS: f64 = 10_000.0;
+const FRACTIONAL_WEIGHT_SCALE: f64 = 10_000.0;
+const WEIGHT_MAX: f64 = 1e12;
+const ADAPTERS_MAX: f64 = 10_000.0;
 const REVISION: &str = "Revision";
 
-fn bad(place: impl Into<String>, what: impl Into<String>, remedy: &str) -> Fault {
+fn fault(place: impl Into<String>, what: impl Into<String>, remedy: &str) -> Fault {
     Fault::new(Kind::Config, place, what, remedy)
 }
 
@@ -27,59 +27,66 @@
     Tree::parse(text).ok()?.whole(REVISION)
 }
 
-pub fn read(f: &Figures, now: &FleetConfig, text: &str, part: bool) -> Result<FleetConfig, Vec<Fault>> {
+pub fn read(
+    figures: &SettingsFigures,
+    current: &FleetConfig,
+    text: &str,
+    is_patch: bool,
+) -> Result<FleetConfig, Vec<Fault>> {
     let mut tree = parse(text)?;
     let mut source = text.to_string();
-    if part {
-        let old = if now.source.is_empty() { "{}" } else { now.source.as_str() };
+    if is_patch {
+        let old = if current.source.is_empty() { "{}" } else { current.source.as_str() };
         tree = merge(parse(old)?, &tree)?;
         source = tree.to_string();
     }
     let mut faults = Vec::new();
-    let mut c = whole(f, &tree, &mut faults);
+    let mut c = read_document(figures, &tree, &mut faults);
     c.source = source;
     if faults.is_empty() { Ok(c) } else { Err(faults) }
 }
 
-fn ms(t: &Tree, key: &str) -> u64 {
+fn milliseconds(t: &Tree, key: &str) -> u64 {
     t.num(key).unwrap_or(0)
 }
 
-fn whole(f: &Figures, tree: &Tree, faults: &mut Vec<Fault>) -> FleetConfig {
-    let mut c = FleetConfig { budget: f.budget.clone(), ..FleetConfig::default() };
+fn read_document(figures: &SettingsFigures, tree: &Tree, faults: &mut Vec<Fault>) -> FleetConfig {
+    let mut c = FleetConfig { budget: figures.budget.clone(), ..FleetConfig::default() };
     c.store.adapters = false;
     match tree.whole(REVISION) {
         Some(n) => c.revision = n,
-        None => {
-            faults.push(bad(REVISION, "is no whole number up to 2^53", "give a number above the current one"))
-        }
+        None => faults.push(fault(
+            REVISION,
+            "is no whole number up to 2^53",
+            "give a number above the current one",
+        )),
     }
     if let Some(l) = tree.get("Limits") {
-        let d = Limits::default();
+        let defaults = Limits::default();
         c.limits = Limits {
-            head_bytes: l.num("MaxHeaderBytes").unwrap_or(d.head_bytes),
-            body_bytes: l.num("MaxBodyBytes").unwrap_or(d.body_bytes),
-            head_ms: l.num("HeaderTimeoutMs").unwrap_or(d.head_ms),
-            idle_ms: l.num("IdleTimeoutMs").unwrap_or(d.idle_ms),
+            head_bytes: l.num("MaxHeaderBytes").unwrap_or(defaults.head_bytes),
+            body_bytes: l.num("MaxBodyBytes").unwrap_or(defaults.body_bytes),
+            head_ms: l.num("HeaderTimeoutMs").unwrap_or(defaults.head_ms),
+            idle_ms: l.num("IdleTimeoutMs").unwrap_or(defaults.idle_ms),
         };
     }
     for key in REQUIRED_LISTS {
         if !matches!(tree.get(key), Some(Tree::List(_))) {
-            faults.push(bad(key, "is no list", "send the whole configuration"));
+            faults.push(fault(key, "is no list", "send the whole configuration"));
         }
     }
     for t in tree.list("Backends") {
-        service(f, t, &mut c, faults);
+        read_service(figures, t, &mut c, faults);
     }
     let mut seen = BTreeSet::new();
     for (n, t) in tree.list("RouteMap").iter().enumerate() {
         let at = format!("RouteMap[{n}]");
-        let Some((of, route)) = route(&at, t, &c, faults) else { continue };
+        let Some((service, route)) = read_route(&at, t, &c, faults) else { continue };
         if !seen.insert((route.host.clone(), route.prefix.clone())) {
-            faults.push(bad(at, "shares host and prefix with another", "drop one of the two"));
+            faults.push(fault(at, "shares host and prefix with another", "drop one of the two"));
             continue;
         }
-        if let Some(s) = c.services.iter_mut().find(|s| s.name == of) {
+        if let Some(s) = c.services.iter_mut().find(|s| s.name == service) {
             s.routes.push(route);
         }
     }
@@ -87,9 +94,9 @@
     c
 }
 
-fn service(f: &Figures, t: &Tree, c: &mut FleetConfig, faults: &mut Vec<Fault>) {
+fn read_service(figures: &SettingsFigures, t: &Tree, c: &mut FleetConfig, faults: &mut Vec<Fault>) {
     let Some(name) = t.text("Name") else {
-        return faults.push(bad("Backends", "one has no Name", "name it"));
+        return faults.push(fault("Backends", "one has no Name", "name it"));
     };
     let mut s = Service {
         name: Name::from(name),
@@ -115,14 +122,14 @@
         s.places = e.num("AdapterCapacity").unwrap_or(0);
         if let Some(rate) = e.float("LoadRateS") {
             c.store.loads_per_minute = (rate * 60.0) as u64;
-            c.store.burst = f.origin.burst(rate);
+            c.store.burst = figures.load_rate_limit.burst(rate);
         }
         for m in e.list("Models") {
             let Some(name) = m.text("Name") else { continue };
             let num = |k: &str| m.float(k).unwrap_or(0.0);
             let load_ms = (num("LoadTimeS") * 1000.0) as u64;
-            if num("Adapters") > MAX_ADAPTERS {
-                faults.push(bad(format!("{name}.Adapters"), "is over 10000", "name fewer"));
+            if num("Adapters") > ADAPTERS_MAX {
+                faults.push(fault(format!("{name}.Adapters"), "is over 10000", "name fewer"));
                 continue;
             }
             c.store.kept_ms = c.store.kept_ms.max(load_ms * KEPT_LOAD_PERCENT / 100);
@@ -132,7 +139,12 @@
                 let own = adapter_name(name, &format!("a{k}"));
                 s.adapters.push(own.clone());
                 let weight_mb = num("AdapterSizeMb").ceil() as u64;
-                c.adapters.push(Adapter { name: own, model: name.into(), weight_mb, load_ms: ADAPTER_MS });
+                c.adapters.push(Adapter {
+                    name: own,
+                    model: name.into(),
+                    weight_mb,
+                    load_ms: ADAPTER_LOAD_MS,
+                });
             }
         }
     }
@@ -140,21 +152,21 @@
 }
 
 fn weight(t: &Tree) -> f64 {
-    t.float("Weight").unwrap_or(0.0).min(MAX_WEIGHT)
+    t.float("Weight").unwrap_or(0.0).min(WEIGHT_MAX)
 }
 
-fn route(at: &str, t: &Tree, c: &FleetConfig, faults: &mut Vec<Fault>) -> Option<(Name, Route)> {
+fn read_route(at: &str, t: &Tree, c: &FleetConfig, faults: &mut Vec<Fault>) -> Option<(Name, Route)> {
     let before = faults.len();
     let mut split: Vec<Share> = Vec::new();
     let rows = t.list("WeightedBackends");
     let weights: Vec<f64> = rows.iter().map(weight).collect();
-    let scale = if weights.iter().all(|w| w.fract() == 0.0) { 1.0 } else { FINE };
+    let scale = if weights.iter().all(|w| w.fract() == 0.0) { 1.0 } else { FRACTIONAL_WEIGHT_SCALE };
     for (w, n) in rows.iter().zip(&weights) {
         let service = Name::from(w.text("Backend").unwrap_or(""));
         split.push(Share { service, weight: (n * scale).ceil() as u64 });
     }
     if !split.is_empty() && weights.iter().sum::<f64>() <= 0.0 {
-        faults.push(bad(at, "its weights add up to 0", "give one a weight above 0"));
+        faults.push(fault(at, "its weights add up to 0", "give one a weight above 0"));
     }
     let of = match (t.text("Backend"), split.iter().max_by_key(|w| w.weight)) {
         (Some(b), _) => Name::from(b),
@@ -163,15 +175,15 @@
     };
     for name in split.iter().map(|w| &w.service).chain([&of]) {
         if c.service(name).is_none() {
-            faults.push(bad(at, format!("names the unknown service \"{name}\""), "name one of Backends"));
+            faults.push(fault(at, format!("names the unknown service \"{name}\""), "name one of Backends"));
         }
     }
     let (host, prefix) = (t.text("Vhost").unwrap_or(""), t.text("PathPrefix").unwrap_or(""));
     if !prefix.starts_with('/') || t.text("Name").is_none() {
-        faults.push(bad(at, "has no Name or no PathPrefix", "give both"));
+        faults.push(fault(at, "has no Name or no PathPrefix", "give both"));
     }
-    if ms(t, "TimeoutMs") == 0 {
-        faults.push(bad(at, "its TimeoutMs is 0", "give a time above 0"));
+    if milliseconds(t, "TimeoutMs") == 0 {
+        faults.push(fault(at, "its TimeoutMs is 0", "give a time above 0"));
     }
     let kind = match t.text("RouteType") {
         Some("idempotent") => RouteKind::Idempotent,
@@ -181,14 +193,14 @@
     let route = Route {
         prefix: prefix.to_string(),
         host: host.to_string(),
-        class: RANKS[(ms(t, "Priority") as usize).min(3)],
+        class: CLASS_BY_PRIORITY[(milliseconds(t, "Priority") as usize).min(3)],
         resumable: kind == RouteKind::Stream && t.flag("Resumable").unwrap_or(false),
-        due_ms: ms(t, "TimeoutMs"),
+        due_ms: milliseconds(t, "TimeoutMs"),
         body_kb: c.limits.body_bytes.div_ceil(1024),
         kind,
         tries: t.num("MaxRetries").unwrap_or(1).max(1),
-        aim_ms: ms(t, "TargetLatencyMs"),
-        gap_ms: ms(t, "TargetGapMs"),
+        aim_ms: milliseconds(t, "TargetLatencyMs"),
+        gap_ms: milliseconds(t, "TargetGapMs"),
         sticky: t.flag("SessionAffinity").unwrap_or(false),
         open: t.flag("NoAuth").unwrap_or(false),
         split,
--- a/src/platform/list.rs
+++ b/src/platform/list.rs
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-pub struct Instances {
+pub struct InstanceList {
     pub addr: SocketAddr,
     pub pause: Duration,
     pub timing: ListTiming,
 }
 
-fn runner(t: &Tree) -> Option<Runner> {
+fn read_runner(t: &Tree) -> Option<Runner> {
     Some(Runner {
         instance: Name::from(t.text("Id")?),
         service: Name::from(t.text("Backend")?),
@@ -26,7 +26,7 @@
 }
 
 /// A text as it may stand in a query.
-fn quoted(text: &str) -> String {
+fn percent_encoded(text: &str) -> String {
     let mut out = String::new();
     for b in text.bytes() {
         match b {
@@ -37,7 +37,7 @@
     out
 }
 
-impl RunnerListProtocol for Instances {
+impl RunnerListProtocol for InstanceList {
     fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -51,7 +51,8 @@
     }
 
     fn ask(&self, page: Option<&str>) -> Call {
-        let path = page.map_or("/instances".to_string(), |p| format!("/instances?PageToken={}", quoted(p)));
+        let path =
+            page.map_or("/instances".to_string(), |p| format!("/instances?PageToken={}", percent_encoded(p)));
         Request::builder()
             .uri(path)
             .header("host", self.addr.to_string())
@@ -62,7 +63,7 @@
     fn read(&self, body: &[u8]) -> Option<(Vec<Runner>, Option<String>)> {
         let t = Tree::parse(std::str::from_utf8(body).ok()?).ok()?;
         let Some(Tree::List(_)) = t.get("Instances") else { return None };
-        let rows = t.list("Instances").iter().filter_map(runner).collect();
+        let rows = t.list("Instances").iter().filter_map(read_runner).collect();
         Some((rows, t.text("NextToken").map(|p| p.to_string())))
     }
 }
--- a/src/platform/operator.rs
+++ b/src/platform/operator.rs
@@ -11,15 +11,15 @@
 
 /// What the settings say of every configuration: the rules' own figures.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct SettingsFigures {
     pub budget: Budget,
-    pub origin: Origin,
+    pub load_rate_limit: LoadRateLimit,
 }
 
 /// How strictly the store of weights is watched: in any span of `window_s` seconds may begin as many loads as its rate
 /// gives times `tolerance`, and `EXTRA_LOADS` more.
 #[derive(Clone, Copy, Debug)]
-pub struct Origin {
+pub struct LoadRateLimit {
     /// The length of the span in seconds.
     pub window_s: f64,
     /// How far the rate may be exceeded within it; 1 is not at all.
@@ -29,13 +29,13 @@
 /// So many loads more than the rate gives may begin within one window.
 const EXTRA_LOADS: f64 = 3.0;
 
-impl Default for Origin {
-    fn default() -> Origin {
-        Origin { window_s: 5.0, tolerance: 1.0 }
+impl Default for LoadRateLimit {
+    fn default() -> LoadRateLimit {
+        LoadRateLimit { window_s: 5.0, tolerance: 1.0 }
     }
 }
 
-impl Origin {
+impl LoadRateLimit {
     /// The most loads that may be saved up for one moment, so that with the steady rate no window holds too many.
     pub fn burst(&self, loads_per_s: f64) -> u64 {
         let above_rate = (self.tolerance - 1.0).max(0.0) * loads_per_s * self.window_s;
@@ -43,13 +43,13 @@
     }
 }
 
-pub struct Operator {
-    pub figures: Figures,
+pub struct PlatformOperator {
+    pub figures: SettingsFigures,
 }
 
 const CONFIG: &str = "/spindledock/config";
 
-impl OperatorProtocol for Operator {
+impl OperatorProtocol for PlatformOperator {
     fn id(&self, method: &str, base: Option<&str>, text: &str) -> ChangeId {
         let base = Precondition::read(base).key();
         let parts = [method.as_bytes(), base.as_bytes(), text.as_bytes()];
@@ -101,7 +101,7 @@
         revision(text)
     }
 
-    fn read(&self, now: &FleetConfig, text: &str, part: bool) -> Result<FleetConfig, Vec<Fault>> {
-        read(&self.figures, now, text, part)
+    fn read(&self, current: &FleetConfig, text: &str, is_patch: bool) -> Result<FleetConfig, Vec<Fault>> {
+        read(&self.figures, current, text, is_patch)
     }
 }
--- a/src/platform/runner.rs
+++ b/src/platform/runner.rs
@@ -12,24 +12,24 @@
 use hyper::Request;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
-const ID: &str = "x-request-id";
-const TENANT: &str = "x-tenant";
+const REQUEST_ID: &str = "x-request-id";
+const TENANT_HEADER: &str = "x-tenant";
 /// The least urgent class that a runner knows.
-const LAST_CLASS: u8 = 9;
+const CLASS_MAX: u8 = 9;
 /// How many classes of routes a rank of tenants takes.
 const CLASSES_PER_RANK: u8 = 4;
 
-pub struct RunnerWords {
+pub struct PlatformRunner {
     pub node: String,
 }
 
-fn put(heads: &mut HeaderMap, key: &'static str, value: &str) {
+fn set_header(headers: &mut HeaderMap, key: &'static str, value: &str) {
     if let Ok(v) = HeaderValue::from_str(value) {
-        heads.insert(HeaderName::from_static(key), v);
+        headers.insert(HeaderName::from_static(key), v);
     }
 }
 
-fn call(method: &str, path: &str, r: &Runner, body: String) -> Call {
+fn runner_call(method: &str, path: &str, r: &Runner, body: String) -> Call {
     Request::builder()
         .method(method)
         .uri(path)
@@ -43,11 +43,11 @@
 /// The class of a request at its runner: by the rank of its tenant, then by the class of its route.
 fn priority_class(order: &Order) -> u8 {
     let first = order.rank.0.saturating_mul(CLASSES_PER_RANK);
-    first.saturating_add(order.class as u8).min(LAST_CLASS)
+    first.saturating_add(order.class as u8).min(CLASS_MAX)
 }
 
 /// The models and adapters that `Models` of a report or list entry tells of.
-pub fn holds(t: &Tree) -> Vec<Name> {
+pub fn held_names(t: &Tree) -> Vec<Name> {
     let mut out = Vec::new();
     for m in t.list("Models") {
         let Some(name) = m.text("Name") else { continue };
@@ -57,54 +57,54 @@
     out
 }
 
-impl RunnerProtocol for RunnerWords {
+impl RunnerProtocol for PlatformRunner {
     fn add_request_headers(
         &self,
-        heads: &mut HeaderMap,
+        headers: &mut HeaderMap,
         runner: &Runner,
         order: &Order,
         last: Option<&str>,
         left: Span,
     ) {
-        put(heads, "x-target-instance", &runner.instance.0);
-        put(heads, "x-deadline-ms", &left.as_ms().max(1).to_string());
+        set_header(headers, "x-target-instance", &runner.instance.0);
+        set_header(headers, "x-deadline-ms", &left.as_ms().max(1).to_string());
         if let Some(id) = last {
-            put(heads, "last-event-id", id);
+            set_header(headers, "last-event-id", id);
         }
-        heads.remove(TENANT);
+        headers.remove(TENANT_HEADER);
         if let Some(name) = tenant_value(order) {
-            heads.insert(HeaderName::from_static(TENANT), name);
+            headers.insert(HeaderName::from_static(TENANT_HEADER), name);
         }
         if !order.model.is_empty() {
-            put(heads, "x-priority-class", &priority_class(order).to_string());
+            set_header(headers, "x-priority-class", &priority_class(order).to_string());
         }
     }
 
-    fn classify_response(&self, sent: &HeaderMap, status: u16, heads: &HeaderMap) -> ResponseOrigin {
-        let other = !self.may_answer(sent, heads);
-        if status == 421 && !(other && heads.contains_key(ID)) {
+    fn classify_response(&self, sent: &HeaderMap, status: u16, headers: &HeaderMap) -> ResponseOrigin {
+        let is_other_answer = !self.may_answer(sent, headers);
+        if status == 421 && !(is_other_answer && headers.contains_key(REQUEST_ID)) {
             return ResponseOrigin::Misdirected;
         }
-        if other {
+        if is_other_answer {
             return ResponseOrigin::Stray;
         }
-        if heads.contains_key("x-not-executed") {
+        if headers.contains_key("x-not-executed") {
             return ResponseOrigin::NotExecuted;
         }
         // Without the runner's word these statuses would promise what isn't known.
         if matches!(status, 408 | 429 | 503) {
             return ResponseOrigin::Stray;
         }
-        let bare = !heads.contains_key("x-server-seal") || heads.contains_key("content-encoding");
-        if (200..300).contains(&status) && bare {
+        let is_unsealed = !headers.contains_key("x-server-seal") || headers.contains_key("content-encoding");
+        if (200..300).contains(&status) && is_unsealed {
             return ResponseOrigin::Stray;
         }
         ResponseOrigin::Own
     }
 
-    fn may_answer(&self, sent: &HeaderMap, heads: &HeaderMap) -> bool {
-        let mut ids = heads.get_all(ID).iter();
-        match (sent.get(ID), ids.next()) {
+    fn may_answer(&self, sent: &HeaderMap, headers: &HeaderMap) -> bool {
+        let mut ids = headers.get_all(REQUEST_ID).iter();
+        match (sent.get(REQUEST_ID), ids.next()) {
             (Some(id), Some(echo)) => id == echo && ids.next().is_none(),
             (None, Some(echo)) => echo.is_empty(),
             (Some(_), None) => false,
@@ -112,8 +112,8 @@
         }
     }
 
-    fn load(&self, heads: &HeaderMap) -> Option<Load> {
-        let row = heads.get("x-server-load")?.to_str().ok()?;
+    fn load(&self, headers: &HeaderMap) -> Option<Load> {
+        let row = headers.get("x-server-load")?.to_str().ok()?;
         let mut n = row.split(',').map(|t| t.trim().parse::<u64>().ok());
         Some(Load { running: n.next()??, waiting: n.next()??, slots: n.next()?? })
     }
@@ -128,7 +128,7 @@
     }
 
     fn report(&self, runner: &Runner) -> Call {
-        call("GET", "/spindledock/report", runner, String::new())
+        runner_call("GET", "/spindledock/report", runner, String::new())
     }
 
     fn read_report(&self, runner: &Runner, body: &[u8]) -> Option<RunnerReport> {
@@ -136,7 +136,7 @@
         Some(RunnerReport {
             instance: runner.instance.clone(),
             leaving: t.text("OperState") == Some("draining") || t.get("RemainingMs").is_some(),
-            holds: holds(&t),
+            holds: held_names(&t),
             running: t.num("Active")?,
             waiting: t.num("Queued")?,
             orders: t.num("Sequence").unwrap_or(0),
@@ -159,6 +159,6 @@
         rows.push(("Owner", self.node.as_str().into()));
         rows.push(("FenceToken", o.term.0.into()));
         rows.push(("ExpectedCount", o.expected.into()));
-        call("POST", "/spindledock/order", &o.runner, map(&rows).to_string())
+        runner_call("POST", "/spindledock/order", &o.runner, map(&rows).to_string())
     }
 }
--- a/src/platform/tenants.rs
+++ b/src/platform/tenants.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeSet;
 
 /// The most requests a second, and the greatest burst, that a quota may allow.
-const QUOTA_MOST: f64 = 1e9;
-const MILLI: f64 = 1000.0;
+const QUOTA_MAX: f64 = 1e9;
+const MILLI_PER_UNIT: f64 = 1000.0;
 
 fn fault(place: &str, what: &str, remedy: &str) -> Fault {
     Fault::new(Kind::Config, place, what, remedy)
@@ -52,14 +52,14 @@
     };
     let before = faults.len();
     let keys = read_keys(at, item, faults);
-    let rate = figure(at, item, "RatePerS", faults);
-    let burst = figure(at, item, "Burst", faults);
-    let priority = figure(at, item, "Priority", faults);
+    let rate = read_number(at, item, "RatePerS", faults);
+    let burst = read_number(at, item, "Burst", faults);
+    let priority = read_number(at, item, "Priority", faults);
     if faults.len() > before {
         return None;
     }
     let quota = rate.filter(|per_s| *per_s > 0.0).map(|per_s| QuotaLimit {
-        rate_milli: (per_s * MILLI).ceil() as u64,
+        rate_milli: (per_s * MILLI_PER_UNIT).ceil() as u64,
         burst: burst.unwrap_or(0.0) as u64,
     });
     Some(Tenant { name: Name::from(name), keys, priority: priority.map(|rank| rank as u64), quota })
@@ -86,10 +86,10 @@
     keys.into_iter().collect()
 }
 
-fn figure(at: &str, item: &Tree, key: &str, faults: &mut Vec<Fault>) -> Option<f64> {
+fn read_number(at: &str, item: &Tree, key: &str, faults: &mut Vec<Fault>) -> Option<f64> {
     item.get(key).filter(|value| **value != Tree::Null)?;
     match item.float(key) {
-        Some(number) if (0.0..=QUOTA_MOST).contains(&number) => Some(number),
+        Some(number) if (0.0..=QUOTA_MAX).contains(&number) => Some(number),
         _ => {
             faults.push(fault(&format!("{at}.{key}"), "is no number from 0 to 10^9", "give such a number"));
             None
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -3,7 +3,7 @@
 use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::tenants::KeyDigest;
 use crate::gate::order::{Order, Parts, Size};
-use crate::http::own::{OwnCaller, OwnRunner};
+use crate::http::native::{NativeCaller, NativeRunner};
 use crate::kernel::fault::Fault;
 use crate::kernel::ids::{ChangeId, Name};
 use crate::kernel::time::Span;
@@ -154,7 +154,12 @@
 
 impl Default for Protocols {
     fn default() -> Protocols {
-        Protocols { caller: Arc::new(OwnCaller), runner: Arc::new(OwnRunner), list: None, operator: None }
+        Protocols {
+            caller: Arc::new(NativeCaller),
+            runner: Arc::new(NativeRunner),
+            list: None,
+            operator: None,
+        }
     }
 }
 
--- a/src/sim/nodes.rs
+++ b/src/sim/nodes.rs
@@ -4,10 +4,10 @@
 use super::record::Fact;
 use super::world::{Event, World};
 use crate::chain::leaving::Departure;
-use crate::daemon::assemble::{Place, controller, router};
-use crate::daemon::keep;
+use crate::daemon::assemble::{NodeSettings, controller, router};
+use crate::daemon::node_io;
 use crate::gate::Table;
-use crate::http::sender::Seen;
+use crate::http::recent_requests::RecentRequests;
 use crate::kernel::disk::Disk;
 use crate::kernel::hold::{SyncGate, WriteBatch};
 use crate::kernel::ids::*;
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 
 pub struct SimNode {
-    pub place: Place,
+    pub place: NodeSettings,
     pub role: Role,
     pub node: Option<Node>,
     pub alive: bool,
@@ -36,7 +36,7 @@
     pub offset: u64,
     pub ppm: u64,
     pub table: Arc<Table>,
-    pub seen: Arc<Seen>,
+    pub seen: Arc<RecentRequests>,
     pub routers: u64,
     pub watch: Vec<crate::fleet::runner::Runner>,
     pub ready: bool,
@@ -52,8 +52,8 @@
 pub const TELL: Span = Span::ms(250);
 
 impl SimNode {
-    pub fn new(place: Place, role: Role, rand: &mut SeededRandom) -> SimNode {
-        let table = Arc::new(Table::new(place.domain.clone(), place.proof));
+    pub fn new(place: NodeSettings, role: Role, rand: &mut SeededRandom) -> SimNode {
+        let table = Arc::new(Table::new(place.domain.clone(), place.freshness_limit));
         SimNode {
             place,
             role,
@@ -115,7 +115,7 @@
         n.reads_list = false;
         n.departure = None;
         n.rehearsed = None;
-        n.table = Arc::new(Table::new(n.place.domain.clone(), n.place.proof));
+        n.table = Arc::new(Table::new(n.place.domain.clone(), n.place.freshness_limit));
         n.seen = Arc::default();
         let node = match n.role {
             Role::Router => router(&n.place, now, rand),
@@ -229,7 +229,7 @@
         node.is_disk_slow = n.hold.is_slow(now);
         node.is_write_stuck = n.hold.is_stuck(now);
         let (own, from) = (node.me.node, node.journal.len());
-        let out = keep::letter(node, now, l);
+        let out = node_io::deliver(node, now, l);
         let agreed = node.journal.since(from).filter_map(|r| Fact::of_journal(own, &r.2));
         let agreed: Vec<Fact> = agreed.filter(|f| !matches!(f, Fact::Told { .. })).collect();
         for fact in agreed {
--- a/src/sim/quota.rs
+++ b/src/sim/quota.rs
@@ -6,7 +6,7 @@
 use super::world::World;
 use crate::constraints::shares::{QuotaDecision, QuotaDemand};
 use crate::forwarding::In;
-use crate::http::quota::outcome;
+use crate::http::quota::admission_result;
 use crate::kernel::ids::Name;
 use crate::kernel::rand::mix;
 use crate::msg;
@@ -121,7 +121,7 @@
     }
 
     fn decided(&mut self, id: u64, request: SimRequest, decision: QuotaDecision) {
-        match outcome(decision) {
+        match admission_result(decision) {
             Ok(()) => self.enter_gate(id, request),
             Err(refusal) => {
                 let (call, code) = (request.call, refusal.code().to_string());
--- a/src/sim/setup.rs
+++ b/src/sim/setup.rs
@@ -3,7 +3,7 @@
 use super::record::{Asked, Fact};
 use super::runners::SimRunner;
 use super::world::World;
-use crate::daemon::assemble::Place;
+use crate::daemon::assemble::NodeSettings;
 use crate::distribution::reader::{FRESHNESS_LIMIT, SERVING_LEASE};
 use crate::fleet::read::read_text;
 use crate::fleet::runner::Runner;
@@ -27,16 +27,16 @@
         for n in 0..total {
             let (role, k) = if n < plan.core { (Role::Controller, n) } else { (Role::Router, n - plan.core) };
             let seeds = (0..plan.core + 2).filter(|s| *s != n).take(3).map(|s| at(1000 + s as u16));
-            let place = Place {
+            let place = NodeSettings {
                 addr: at(1000 + n as u16),
                 admin: at(2000 + n as u16),
                 domain: Name(plan.zone(k)),
                 seeds: seeds.collect(),
-                core: plan.core,
-                bear: 1,
-                first: true,
-                proof: FRESHNESS_LIMIT,
-                lease: SERVING_LEASE,
+                core_size: plan.core,
+                tolerated_failures: 1,
+                may_found: true,
+                freshness_limit: FRESHNESS_LIMIT,
+                serving_lease: SERVING_LEASE,
                 policy: plan.policy,
                 list: None,
                 protocols: Default::default(),
--- a/src/sim/steps.rs
+++ b/src/sim/steps.rs
@@ -91,7 +91,7 @@
         Blow::Wipe => {
             w.kill_node(place);
             w.nodes[place].disk.wipe();
-            w.nodes[place].place.first = false;
+            w.nodes[place].place.may_found = false;
             w.at(w.now + Span::ms(700), move |w| w.start_node(place));
         }
         Blow::Stop => {
--- a/src/soak/clients.rs
+++ b/src/soak/clients.rs
@@ -3,7 +3,7 @@
 
 use super::operator::Journal;
 use super::slow_socket;
-use crate::http::connection::{Ready, Resting};
+use crate::http::connection::{IdleConnection, ReadyConnection};
 use crate::kernel::time::{BootClock, Clock, Time};
 use crate::launch::deployment::Deployment;
 use crate::sim::record::Fact;
@@ -84,7 +84,7 @@
     kind: Kind,
     router: usize,
     random: ChaCha8Rng,
-    resting: Option<Resting>,
+    resting: Option<IdleConnection>,
     refused_connections: u32,
 }
 
@@ -138,16 +138,16 @@
         offered[one.min(other)].clone()
     }
 
-    async fn connection(&mut self) -> Option<Ready> {
-        let kept = self.resting.take().and_then(|resting| resting.wake(Instant::now()));
+    async fn connection(&mut self) -> Option<ReadyConnection> {
+        let kept = self.resting.take().and_then(|resting| resting.into_ready(Instant::now()));
         if kept.is_some() {
             return kept;
         }
         let addr = self.shared.routers[self.router];
         if self.kind != Kind::Slow {
-            return Ready::connect(addr).await;
+            return ReadyConnection::connect(addr).await;
         }
-        Ready::over(slow_socket::connect(addr).await.ok()?).await
+        ReadyConnection::over(slow_socket::connect(addr).await.ok()?).await
     }
 
     async fn call(&mut self, what: &Call) {
--- a/src/standin/caller.rs
+++ b/src/standin/caller.rs
@@ -1,9 +1,9 @@
 use super::script::{Script, plain};
 use super::tally::{End, Tally};
-use crate::http::answer::OUTCOME;
-use crate::http::connection::{Ready, Resting, SendError};
-use crate::http::exchange::{Answer, Judged};
-use crate::http::pool::{Pool, open};
+use crate::http::answer::OUTCOME_HEADER;
+use crate::http::connection::{IdleConnection, ReadyConnection, SendError};
+use crate::http::exchange::{Classified, RunnerAnswer};
+use crate::http::pool::{Pool, always_allowed};
 use crate::json::Tree;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{BootClock, Clock, Time};
@@ -58,7 +58,7 @@
     };
     let (tally, resting) = call_over(Called::now(what), ready, router, what, Duration::ZERO).await;
     if let Some(resting) = resting {
-        pool.rest(router, resting);
+        pool.keep_idle(router, resting);
     }
     tally
 }
@@ -67,11 +67,11 @@
 /// back if it may be used again.
 pub async fn call_over(
     called: Called,
-    ready: Ready,
+    ready: ReadyConnection,
     router: SocketAddr,
     what: &Call,
     pause: Duration,
-) -> (Tally, Option<Resting>) {
+) -> (Tally, Option<IdleConnection>) {
     let mut tally = Tally::default();
     let request = request(what, router, called.id);
     let began = Instant::now();
@@ -80,11 +80,11 @@
             tally.first_ms.push(began.elapsed().as_millis() as u64);
             read(answer, what, pause, &mut tally).await
         }
-        Err(SendError::NotSent | SendError::Barred) => {
+        Err(SendError::NotSent | SendError::RefusedByCheck) => {
             tally.add(End::Failed);
             (String::new(), None)
         }
-        Err(SendError::Unsure) => {
+        Err(SendError::MaybeSent) => {
             tally.add(End::Broken);
             (String::new(), None)
         }
@@ -127,10 +127,10 @@
     }
 }
 
-async fn send(ready: Ready, request: Request<Full<Bytes>>) -> Result<Answer, SendError> {
-    match ready.send(request, open()).await?.judge(|_, _| ResponseOrigin::Own) {
-        Judged::Own(answer) => Ok(answer),
-        _ => Err(SendError::Unsure),
+async fn send(ready: ReadyConnection, request: Request<Full<Bytes>>) -> Result<RunnerAnswer, SendError> {
+    match ready.send(request, always_allowed()).await?.judge(|_, _| ResponseOrigin::Own) {
+        Classified::Own(answer) => Ok(answer),
+        _ => Err(SendError::MaybeSent),
     }
 }
 
@@ -148,9 +148,14 @@
 }
 
 /// Reads an answer to its end; the code of one that the router made itself, and the connection if it rests.
-async fn read(mut answer: Answer, call: &Call, pause: Duration, t: &mut Tally) -> (String, Option<Resting>) {
+async fn read(
+    mut answer: RunnerAnswer,
+    call: &Call,
+    pause: Duration,
+    t: &mut Tally,
+) -> (String, Option<IdleConnection>) {
     let status = answer.status();
-    let outcome = answer.headers().get(OUTCOME).and_then(|v| v.to_str().ok()).map(|s| s.to_string());
+    let outcome = answer.headers().get(OUTCOME_HEADER).and_then(|v| v.to_str().ok()).map(|s| s.to_string());
     let stream = answer.headers().get("content-type").is_some_and(|v| v == "text/event-stream");
     let mut raw = Vec::new();
     let mut beat = Instant::now();
@@ -171,7 +176,7 @@
             tokio::time::sleep(pause).await;
         }
     }
-    let resting = answer.finish();
+    let resting = answer.into_idle_connection();
     let text = String::from_utf8_lossy(&raw).into_owned();
     if let Some(outcome) = outcome {
         let code = Tree::parse(&text).ok().and_then(|t| t.text("code").map(|s| s.to_string()));
--- a/src/standin/control.rs
+++ b/src/standin/control.rs
@@ -1,7 +1,7 @@
 use super::runner::Runner;
 use super::stock::Stock;
 use crate::fleet::read::read_text;
-use crate::http::answer::{OutBody, whole};
+use crate::http::answer::{AnswerBody, full_body};
 use crate::kernel::ids::Name;
 use hyper::Response;
 use pico_args::Arguments;
@@ -50,7 +50,7 @@
     pub unframed: bool,
 }
 
-pub fn set(runner: &Arc<Runner>, body: &[u8]) -> Response<OutBody> {
+pub fn set(runner: &Arc<Runner>, body: &[u8]) -> Response<AnswerBody> {
     let mut knobs = runner.knobs.lock().unwrap();
     let what = String::from_utf8_lossy(body).trim().to_string();
     knobs.fault = Fault::named(&what);
@@ -59,7 +59,7 @@
     }
     drop(knobs);
     runner.note(&format!("fault what={what}"));
-    Response::new(whole("ok"))
+    Response::new(full_body("ok"))
 }
 
 pub const HELP: &str = "\
@@ -120,6 +120,7 @@
         tokio::net::TcpListener::bind(addr).await.map_err(|e| format!("{addr}: {e}; free the port"))?;
     runner.note("started");
     let me = runner.clone();
-    crate::daemon::serve::serve(socket, Arc::new(move |order| Box::pin(me.clone().answer(order)))).await;
+    crate::daemon::listener::serve_admin(socket, Arc::new(move |order| Box::pin(me.clone().answer(order))))
+        .await;
     Ok(())
 }
--- a/src/standin/runner.rs
+++ b/src/standin/runner.rs
@@ -1,7 +1,7 @@
 use super::control::{Fault, Knobs};
 use super::script::{Script, plain};
 use super::stock::Stock;
-use crate::http::answer::{OutBody, whole};
+use crate::http::answer::{AnswerBody, full_body};
 use crate::http::body::{BodyWriter, streamed};
 use crate::json::Tree;
 use crate::json::tree::map;
@@ -28,12 +28,12 @@
     pub record: Mutex<Option<std::fs::File>>,
 }
 
-fn json(status: u16, tree: Tree) -> Response<OutBody> {
+fn json(status: u16, tree: Tree) -> Response<AnswerBody> {
     let b = Response::builder().status(status).header("content-type", "application/json");
-    b.body(whole(tree.to_string())).expect("a valid answer")
+    b.body(full_body(tree.to_string())).expect("a valid answer")
 }
 
-fn text(status: u16, text: &str) -> Response<OutBody> {
+fn text(status: u16, text: &str) -> Response<AnswerBody> {
     json(status, map(&[("text", text.into())]))
 }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    pub async fn answer(self: Arc<Runner>, order: Request<Incoming>) -> Response<OutBody> {
+    pub async fn answer(self: Arc<Runner>, order: Request<Incoming>) -> Response<AnswerBody> {
         let fault = self.knobs.lock().unwrap().fault.clone();
         let path = order.uri().path().to_string();
         if path == "/fault" {
@@ -119,7 +119,7 @@
             std::future::pending::<()>().await;
         }
         if fault == Fault::Rubbish {
-            return Response::new(whole("{]rubbish"));
+            return Response::new(full_body("{]rubbish"));
         }
         if path == "/spindle/report" {
             let mut rep = self.stock.lock().unwrap().report();
@@ -143,7 +143,7 @@
         self.run(order).await
     }
 
-    fn ordered(self: &Arc<Runner>, path: &str, body: &[u8]) -> Response<OutBody> {
+    fn ordered(self: &Arc<Runner>, path: &str, body: &[u8]) -> Response<AnswerBody> {
         let Ok(t) = Tree::parse(&String::from_utf8_lossy(body)) else { return text(400, "not JSON") };
         let (Some(id), Some(term), Some(name)) = (t.text("order"), t.num("term"), t.text("name")) else {
             return text(400, "order, term and name are needed");
@@ -163,7 +163,7 @@
         text(status, why)
     }
 
-    async fn run(self: Arc<Runner>, order: Request<Incoming>) -> Response<OutBody> {
+    async fn run(self: Arc<Runner>, order: Request<Incoming>) -> Response<AnswerBody> {
         let head = |k: &str| order.headers().get(k).and_then(|v| v.to_str().ok()).unwrap_or("").to_string();
         let (call, last) = (head("x-call-id"), head("last-event-id"));
         let (method, path) = (order.method().clone(), order.uri().path().to_string());
@@ -195,7 +195,7 @@
             let raw = plain(&path);
             let mut run = run;
             run.whole = true;
-            return Response::new(whole(raw));
+            return Response::new(full_body(raw));
         };
         self.prefill(&s, after, &knobs).await;
         if !s.stream {
@@ -204,7 +204,7 @@
             run.whole = true;
             return Response::builder()
                 .header("content-type", "application/json")
-                .body(whole(s.whole()))
+                .body(full_body(s.whole()))
                 .expect("valid");
         }
         let unframed = knobs.unframed;
--- a/tests/common/adopt.rs
+++ b/tests/common/adopt.rs
@@ -83,7 +83,7 @@
     pub fn open_bearing(plan: Deployment, seed: u64, bear: usize) -> Office {
         let mut w = World::build(plan, seed);
         for n in &mut w.nodes {
-            n.place.bear = bear;
+            n.place.tolerated_failures = bear;
             n.place.protocols.operator = Some(Arc::new(Lines));
         }
         w.start_all();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -45,8 +45,8 @@
     let mut w = World::build(plan, seed);
     let all: Vec<_> = w.controllers().into_iter().rev().map(|n| w.nodes[n].place.addr).collect();
     for n in &mut w.nodes {
-        n.place.core = 0;
-        n.place.bear = bear;
+        n.place.core_size = 0;
+        n.place.tolerated_failures = bear;
         n.place.seeds = all.iter().copied().take(seeds).collect();
     }
     w
@@ -57,7 +57,7 @@
     let mut w = bearing(Deployment { core, routers: 3, ..vanua() }, seed, 3, bear);
     settle(&mut w);
     for n in &mut w.nodes {
-        n.place.first = false;
+        n.place.may_found = false;
     }
     w.run_for(Span::ms(1000 + 70 * seed));
     w
@@ -74,7 +74,7 @@
 pub fn wipe(w: &mut World, place: usize, later: Span) {
     w.kill_node(place);
     w.nodes[place].disk.wipe();
-    w.nodes[place].place.first = false;
+    w.nodes[place].place.may_found = false;
     w.at(w.now + later, move |w| w.start_node(place));
 }
 
@@ -88,7 +88,7 @@
 pub fn add_controller(w: &mut World, like: usize) -> usize {
     let mut place = w.nodes[like].place.clone();
     place.addr = SocketAddr::from(([10, 0, 0, 9], 1500 + w.nodes.len() as u16));
-    place.first = false;
+    place.may_found = false;
     let node = SimNode::new(place, Role::Controller, &mut w.rand);
     w.nodes.push(node);
     let new = w.nodes.len() - 1;
--- a/tests/dark_core.rs
+++ b/tests/dark_core.rs
@@ -15,7 +15,7 @@
 
 fn loaded(seed: u64, lease: Span) -> World {
     let mut w = World::build(vanua(), seed);
-    w.nodes.iter_mut().for_each(|n| n.place.lease = lease);
+    w.nodes.iter_mut().for_each(|n| n.place.serving_lease = lease);
     w.found_fleet();
     w.load_models(10);
     let id =
--- a/tests/found.rs
+++ b/tests/found.rs
@@ -66,7 +66,7 @@
     seeded(1..4, |seed| {
         let mut w = bearing(vanua(), seed, 3, 1);
         for n in &mut w.nodes {
-            n.place.first = false;
+            n.place.may_found = false;
         }
         w.start_all();
         w.run_for(Span::ms(20_000));
@@ -82,7 +82,7 @@
             w.start_all();
             w.run_for(Span::ms(280 + 17 * seed));
             w.kill_node(lost);
-            w.nodes[lost].place.first = false;
+            w.nodes[lost].place.may_found = false;
             w.run_for(Span::ms(60 * seed));
             w.start_node(lost);
             let core = w.controllers();
@@ -126,7 +126,7 @@
             w.run_for(Span::ms(2000));
             let mut place = w.nodes[lost].place.clone();
             place.addr = SocketAddr::from(([10, 0, 0, 9], 1500));
-            place.first = false;
+            place.may_found = false;
             place.seeds.retain(|a| *a != w.nodes[lost].place.addr);
             place.seeds.push(place.addr);
             let node = SimNode::new(place, Role::Controller, &mut w.rand);
@@ -159,7 +159,7 @@
             let all: Vec<usize> = (0..w.nodes.len()).collect();
             for n in &all {
                 w.kill_node(*n);
-                w.nodes[*n].place.first = false;
+                w.nodes[*n].place.may_found = false;
             }
             w.run_for(Span::ms(off));
             start_apart(&mut w, &all);
--- a/tests/platform_config.rs
+++ b/tests/platform_config.rs
@@ -5,7 +5,7 @@
 use spindledock::fleet::FleetConfig;
 use spindledock::fleet::config::{Class, RouteKind, ServiceKind};
 use spindledock::json::Tree;
-use spindledock::platform::operator::Origin;
+use spindledock::platform::operator::LoadRateLimit;
 use std::collections::BTreeMap;
 
 fn check<A: Testable>(test: A) {
@@ -55,7 +55,7 @@
 fn given_a_rate_of_the_store_when_read_then_no_window_can_hold_more_loads_than_are_allowed() {
     for (rate, window_s, tolerance) in [(3.6, 5.0, 1.1), (4.2, 5.0, 1.1), (46.0, 5.0, 1.1), (63.0, 2.0, 1.0)]
     {
-        let burst = Origin { window_s, tolerance }.burst(rate);
+        let burst = LoadRateLimit { window_s, tolerance }.burst(rate);
         let allowed = rate * window_s * tolerance + 3.0;
         assert!(burst >= 3 && burst as f64 + rate * window_s <= allowed, "{rate}: {burst}");
     }
--- a/tests/platform_connection.rs
+++ b/tests/platform_connection.rs
@@ -2,9 +2,9 @@
 
 use http_body_util::Full;
 use hyper::Request;
-use spindledock::http::connection::{Ready, Resting, SendError};
-use spindledock::http::exchange::{Answer, Judged};
-use spindledock::http::pool::open;
+use spindledock::http::connection::{IdleConnection, ReadyConnection, SendError};
+use spindledock::http::exchange::{Classified, RunnerAnswer};
+use spindledock::http::pool::always_allowed;
 use spindledock::protocol::ResponseOrigin;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -65,22 +65,22 @@
     Request::post("/x").header("host", "a").body(Full::new(body.into())).expect("a request")
 }
 
-async fn answered(peer: &Peer, ready: Ready, text: String, body: Vec<u8>) -> Answer {
+async fn answered(peer: &Peer, ready: ReadyConnection, text: String, body: Vec<u8>) -> RunnerAnswer {
     peer.begin(move |tcp| {
         read_head(tcp);
         tcp.write_all(text.as_bytes()).expect("said");
     });
-    let exchange = ready.send(request(body), open()).await.expect("an answer");
+    let exchange = ready.send(request(body), always_allowed()).await.expect("an answer");
     peer.done.recv_timeout(LONG).expect("said");
-    let Judged::Own(answer) = exchange.judge(|_, _| ResponseOrigin::Own) else { panic!("an answer") };
+    let Classified::Own(answer) = exchange.judge(|_, _| ResponseOrigin::Own) else { panic!("an answer") };
     answer
 }
 
-async fn rested(peer: &Peer, text: &str) -> Option<Resting> {
-    let ready = Ready::connect(peer.addr).await.expect("a connection");
+async fn rested(peer: &Peer, text: &str) -> Option<IdleConnection> {
+    let ready = ReadyConnection::connect(peer.addr).await.expect("a connection");
     let mut answer = answered(peer, ready, text.to_string(), vec![]).await;
     assert!(answer.collect(1 << 20).await.is_ok());
-    answer.finish()
+    answer.into_idle_connection()
 }
 
 async fn settle() {
@@ -95,11 +95,11 @@
     let mut resting = rested(&peer, GOOD).await.expect("kept");
     for _ in 0..3 {
         settle().await;
-        let ready = resting.wake(Instant::now()).expect("clean");
+        let ready = resting.into_ready(Instant::now()).expect("clean");
         assert!(ready.is_used());
         let mut answer = answered(&peer, ready, GOOD.into(), vec![7; 1000]).await;
         assert_eq!(answer.collect(100).await.expect("whole"), "mine");
-        resting = answer.finish().expect("kept");
+        resting = answer.into_idle_connection().expect("kept");
         peer.then(|tcp| tcp.read_exact(&mut [0u8; 1000]).expect("the body"));
     }
 }
@@ -117,16 +117,16 @@
         let resting = rested(&peer, GOOD).await.expect("kept");
         settle().await;
         peer.then(act);
-        assert!(resting.wake(Instant::now()).is_none(), "{what}");
+        assert!(resting.into_ready(Instant::now()).is_none(), "{what}");
     }
 }
 
 #[tokio::test]
 async fn given_an_answer_that_was_not_read_to_its_end_when_it_is_done_with_then_the_connection_ends() {
     let peer = Peer::start();
-    let ready = Ready::connect(peer.addr).await.expect("a connection");
+    let ready = ReadyConnection::connect(peer.addr).await.expect("a connection");
     let answer = answered(&peer, ready, GOOD.into(), vec![]).await;
-    assert!(answer.finish().is_none());
+    assert!(answer.into_idle_connection().is_none());
     settle().await;
     peer.then(|tcp| {
         let end = tcp.read(&mut [0u8; 1]);
@@ -145,19 +145,19 @@
         let resting = rested(&peer, &answer("keep-alive: timeout=2\r\n")).await.expect("kept");
         settle().await;
         let then = Instant::now() + Duration::from_millis(ms);
-        assert_eq!(resting.wake(then).is_some(), kept, "{ms} ms");
+        assert_eq!(resting.into_ready(then).is_some(), kept, "{ms} ms");
     }
 }
 
 #[tokio::test]
 async fn given_an_answer_that_came_before_the_request_was_read_when_it_is_whole_then_nothing_follows_it() {
     let peer = Peer::start();
-    let ready = Ready::connect(peer.addr).await.expect("a connection");
+    let ready = ReadyConnection::connect(peer.addr).await.expect("a connection");
     let mut answer = answered(&peer, ready, GOOD.into(), vec![7; 32 << 20]).await;
     assert_eq!(answer.collect(100).await.expect("whole"), "mine");
-    let resting = answer.finish().expect("the answer is whole");
+    let resting = answer.into_idle_connection().expect("the answer is whole");
     settle().await;
-    assert!(resting.wake(Instant::now()).is_none(), "its request is not");
+    assert!(resting.into_ready(Instant::now()).is_none(), "its request is not");
     settle().await;
     peer.then(|tcp| {
         let mut raw = Vec::new();
@@ -170,7 +170,7 @@
 async fn given_an_answer_without_a_length_when_it_ends_then_a_reset_is_no_end_and_the_connection_is_gone() {
     for reset in [false, true] {
         let peer = Peer::start();
-        let ready = Ready::connect(peer.addr).await.expect("a connection");
+        let ready = ReadyConnection::connect(peer.addr).await.expect("a connection");
         let mut answer = answered(&peer, ready, "HTTP/1.1 200 OK\r\n\r\nmine".into(), vec![]).await;
         assert_eq!(answer.next().await.expect("a part").expect("some"), "mine");
         peer.then(move |tcp| {
@@ -181,9 +181,9 @@
         });
         let end = answer.next().await;
         assert_eq!(end.is_err(), reset, "{end:?}");
-        let kept = answer.finish();
+        let kept = answer.into_idle_connection();
         settle().await;
-        assert!(kept.is_none_or(|resting| resting.wake(Instant::now()).is_none()));
+        assert!(kept.is_none_or(|resting| resting.into_ready(Instant::now()).is_none()));
     }
 }
 
@@ -203,9 +203,9 @@
 #[tokio::test]
 async fn given_a_check_that_fails_when_the_first_byte_is_due_then_no_byte_leaves_and_that_is_told() {
     let peer = Peer::start();
-    let ready = Ready::connect(peer.addr).await.expect("a connection");
+    let ready = ReadyConnection::connect(peer.addr).await.expect("a connection");
     let barred = ready.send(request(vec![]), std::sync::Arc::new(|| false)).await;
-    assert_eq!(barred.err(), Some(SendError::Barred));
+    assert_eq!(barred.err(), Some(SendError::RefusedByCheck));
     settle().await;
     peer.then(|tcp| assert!(!tcp.read(&mut [0u8; 1]).is_ok_and(|n| n > 0), "no byte"));
 }
@@ -213,26 +213,26 @@
 #[tokio::test]
 async fn given_a_peer_that_ends_after_the_first_byte_when_no_answer_came_then_the_outcome_is_not_known() {
     let peer = Peer::start();
-    let ready = Ready::connect(peer.addr).await.expect("a connection");
+    let ready = ReadyConnection::connect(peer.addr).await.expect("a connection");
     peer.begin(|tcp| {
         tcp.read_exact(&mut [0u8; 1]).expect("a byte");
         tcp.shutdown(std::net::Shutdown::Both).expect("shut");
     });
-    let sent = ready.send(request(vec![]), open()).await;
-    assert_eq!(sent.err(), Some(SendError::Unsure));
+    let sent = ready.send(request(vec![]), always_allowed()).await;
+    assert_eq!(sent.err(), Some(SendError::MaybeSent));
 }
 
 #[tokio::test]
 async fn given_an_interim_status_in_place_of_an_answer_when_it_comes_then_it_is_nobodys_answer() {
     for text in ["HTTP/1.1 101 Switching Protocols\r\nupgrade: x\r\nconnection: upgrade\r\n\r\n"] {
         let peer = Peer::start();
-        let ready = Ready::connect(peer.addr).await.expect("a connection");
+        let ready = ReadyConnection::connect(peer.addr).await.expect("a connection");
         peer.begin(move |tcp| {
             read_head(tcp);
             tcp.write_all(text.as_bytes()).expect("said");
         });
-        if let Ok(exchange) = ready.send(request(vec![]), open()).await {
-            assert!(matches!(exchange.judge(|_, _| ResponseOrigin::Own), Judged::Stray), "{text}");
+        if let Ok(exchange) = ready.send(request(vec![]), always_allowed()).await {
+            assert!(matches!(exchange.judge(|_, _| ResponseOrigin::Own), Classified::Stray), "{text}");
         }
     }
 }
--- a/tests/platform_given/mod.rs
+++ b/tests/platform_given/mod.rs
@@ -2,7 +2,7 @@
 
 use spindledock::fleet::FleetConfig;
 use spindledock::kernel::fault::Fault;
-use spindledock::platform::operator::{Figures, Operator};
+use spindledock::platform::operator::{PlatformOperator, SettingsFigures};
 use spindledock::protocol::OperatorProtocol;
 
 pub const ROUTER: &str = r#"
@@ -67,8 +67,8 @@
  "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000},
  "Later":{"kept":[true,null,1e-05,-3.5]}}"#;
 
-pub fn operator() -> Operator {
-    Operator { figures: Figures::default() }
+pub fn operator() -> PlatformOperator {
+    PlatformOperator { figures: SettingsFigures::default() }
 }
 
 pub fn whole(text: &str) -> Result<FleetConfig, Vec<Fault>> {
--- a/tests/platform_given/road.rs
+++ b/tests/platform_given/road.rs
@@ -1,17 +1,17 @@
 #![allow(dead_code)]
 
 use crate::platform_given::whole;
-use spindledock::daemon::serve::{Work, serve_clients};
+use spindledock::daemon::listener::{AnswerFuture, serve_clients};
 use spindledock::fleet::runner::Runner;
 use spindledock::fleet::slice::{RoutesSlice, Slice, service_slice};
 use spindledock::fleet::state::Scope;
 use spindledock::gate::Table;
 use spindledock::http::client::ClientConnections;
-use spindledock::http::serve::Front;
+use spindledock::http::request_service::RequestService;
 use spindledock::kernel::ids::{Name, Version};
 use spindledock::kernel::time::{Clock, Span, Time};
-use spindledock::platform::caller::Caller;
-use spindledock::platform::runner::RunnerWords;
+use spindledock::platform::caller::PlatformCaller;
+use spindledock::platform::runner::PlatformRunner;
 use spindledock::protocol::Protocols;
 use spindledock::standin::raw::{Heard, RawRunners, Script, Step, own_loopback};
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 
 pub struct Road {
     pub runners: RawRunners,
-    pub front: Arc<Front>,
+    pub front: Arc<RequestService>,
     pub addr: SocketAddr,
     pub clock: Arc<Hours>,
     pub config: String,
@@ -68,20 +68,20 @@
     pub async fn start(runners: usize, tries: u64, script: Script) -> Road {
         let runners = RawRunners::start(runners, script).await;
         let clock = Arc::new(Hours(AtomicU64::new(1_000_000_000)));
-        let caller = Arc::new(Caller);
-        let words = Arc::new(RunnerWords { node: "n".into() });
-        let front = Arc::new(Front {
+        let caller = Arc::new(PlatformCaller);
+        let words = Arc::new(PlatformRunner { node: "n".into() });
+        let front = Arc::new(RequestService {
             table: Arc::new(Table::bare(
                 Name::from("hall-a"),
                 spindledock::distribution::reader::FRESHNESS_LIMIT,
             )),
             pool: Default::default(),
             clock: clock.clone(),
-            leaving: AtomicBool::new(false),
-            stopping: AtomicBool::new(false),
-            next: AtomicU64::new(1),
-            open: AtomicU64::new(0),
-            seen: Default::default(),
+            is_leaving: AtomicBool::new(false),
+            is_stopping: AtomicBool::new(false),
+            next_id: AtomicU64::new(1),
+            open_requests: AtomicU64::new(0),
+            recent: Default::default(),
             clients: ClientConnections::new(clock.clone()),
             protocols: Protocols { caller, runner: words, list: None, operator: None },
         });
@@ -89,7 +89,7 @@
         let addr = socket.local_addr().expect("an address");
         let work = front.clone();
         let clients = front.clients.clone();
-        let work = Arc::new(move |order| Box::pin(work.clone().answer(order)) as Work);
+        let work = Arc::new(move |order| Box::pin(work.clone().answer(order)) as AnswerFuture);
         tokio::spawn(serve_clients(socket, work, clients));
         Road { runners, front, addr, clock, config: config(tries), version: Version(1) }
     }
--- a/tests/platform_gone.rs
+++ b/tests/platform_gone.rs
@@ -21,7 +21,7 @@
 
 async fn idle(road: &Road) {
     let work = async {
-        while road.front.open.load(Ordering::SeqCst) > 0 {
+        while road.front.open_requests.load(Ordering::SeqCst) > 0 {
             tokio::task::yield_now().await;
         }
     };
--- a/tests/platform_keys.rs
+++ b/tests/platform_keys.rs
@@ -180,5 +180,5 @@
     let gate = road.front.table.gate(&"s".into()).expect("a gate");
     let counts = gate.lock().expect("a gate").counts.clone();
     assert_eq!(counts.get("refused_unknown_key"), Some(&1), "{counts:?}");
-    assert_eq!(road.front.open.load(Ordering::SeqCst), 0);
+    assert_eq!(road.front.open_requests.load(Ordering::SeqCst), 0);
 }
--- a/tests/platform_limits.rs
+++ b/tests/platform_limits.rs
@@ -77,13 +77,13 @@
     let whole = order("q1", "/once/x", "");
     for at in 1..whole.len() {
         let mut link = road.link().await;
-        let open = road.front.clients.begun();
+        let open = road.front.clients.count_reading_head();
         link.write_all(&whole.as_bytes()[..at]).await.expect("sent");
-        while road.front.clients.begun() == open {
+        while road.front.clients.count_reading_head() == open {
             tokio::task::yield_now().await;
         }
         pass(&road, HEAD_MS - 100);
-        assert_eq!(road.front.clients.begun(), open + 1, "cut at {at}");
+        assert_eq!(road.front.clients.count_reading_head(), open + 1, "cut at {at}");
         pass(&road, 101);
         let got = rest(&mut link).await;
         assert!(got.is_empty() || status(&got) == 400 || status(&got) == 408, "cut at {at}: {got}");
