--- a/tests/platform_precondition.rs
+++ b/tests/platform_precondition.rs
@@ -2,12 +2,12 @@
 
 use spindledock::kernel::ids::ChangeId;
 use spindledock::msg::{Answer, Event, OperatorCall};
-use spindledock::platform::operator::{Figures, Operator};
+use spindledock::platform::operator::{PlatformOperator, SettingsFigures};
 use spindledock::protocol::{OperatorProtocol, ParsedCall};
 
 /// The base that a call states, or the status that it gets at once.
 fn base(value: Option<&str>) -> Result<Option<u64>, u16> {
-    let side = Operator { figures: Figures::default() };
+    let side = PlatformOperator { figures: SettingsFigures::default() };
     match side.read_request(ChangeId::default(), "PUT", "/spindledock/config", value, "{}") {
         Some(ParsedCall::Event(event)) => match *event {
             Event::OperatorCall { op: OperatorCall::PlatformConfig { base, .. }, .. } => Ok(base),
@@ -19,7 +19,7 @@
 }
 
 fn id(method: &str, value: Option<&str>, text: &str) -> ChangeId {
-    Operator { figures: Figures::default() }.id(method, value, text)
+    PlatformOperator { figures: SettingsFigures::default() }.id(method, value, text)
 }
 
 #[test]
@@ -82,7 +82,7 @@
 
 #[test]
 fn given_an_answer_that_names_another_controller_when_it_is_told_then_it_is_a_redirect() {
-    let side = Operator { figures: Figures::default() };
+    let side = PlatformOperator { figures: SettingsFigures::default() };
     let unanswered = Answer::new(503, "no-majority", "ask another node", 1);
     assert_eq!(side.status(&unanswered), 503);
     let redirect = "10.0.0.4:8080".parse().ok();
--- a/tests/platform_reload.rs
+++ b/tests/platform_reload.rs
@@ -5,7 +5,7 @@
 use folder::Folder;
 use platform_given::router;
 use spindledock::json::Tree;
-use spindledock::platform::settings::PATH;
+use spindledock::platform::settings::PATH_VARIABLE;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -34,7 +34,7 @@
 impl Router {
     fn start(file: &str) -> Router {
         let mut c = Command::new(env!("CARGO_BIN_EXE_spindledock-router"));
-        c.arg("--platform").env(PATH, file).stdout(Stdio::piped()).stderr(Stdio::piped());
+        c.arg("--platform").env(PATH_VARIABLE, file).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut child = c.spawn().expect("it starts");
         let (tx, lines) = mpsc::channel();
         let out: [Option<Box<dyn Read + Send>>; 2] = [
--- a/tests/platform_road.rs
+++ b/tests/platform_road.rs
@@ -115,7 +115,7 @@
     road.learn();
     let got = road.ask("q1", "/gone/x").await;
     assert!(status(&got) == 404 && value(&got, "retry-after").is_none(), "{got}");
-    road.front.stopping.store(true, std::sync::atomic::Ordering::SeqCst);
+    road.front.is_stopping.store(true, std::sync::atomic::Ordering::SeqCst);
     let got = road.ask("q1", "/idem/x").await;
     assert!(status(&got) == 503 && value(&got, "retry-after").is_some(), "{got}");
     assert!(road.heard().is_empty());
--- a/tests/platform_settings.rs
+++ b/tests/platform_settings.rs
@@ -5,7 +5,7 @@
 use folder::Folder;
 use platform_given::{controller, router, sound};
 use spindledock::msg::Role;
-use spindledock::platform::settings::{PATH, read};
+use spindledock::platform::settings::{PATH_VARIABLE, read};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
@@ -28,20 +28,20 @@
     assert_eq!(c.domain.0, "hall-a");
     assert_eq!(c.seeds, [addr("127.0.0.1:7660"), addr("127.0.0.2:7660"), addr("127.0.0.3:7660")]);
     assert!(
-        c.core == 0
-            && c.bear == 1
-            && c.first
+        c.core_size == 0
+            && c.tolerated_failures == 1
+            && c.may_found
             && c.data.is_none()
-            && c.lean
+            && c.is_single_threaded
             && c.drain_ms < 8000
             && c.lame_ms < c.drain_ms
     );
     let c = read(Role::Controller, &controller()).expect("good");
     assert_eq!((c.http, c.admin), (None, addr("127.0.0.1:8144")));
-    assert_eq!((c.data, c.bear, c.lame_ms), (Some(PathBuf::from("/var/data")), 1, 0));
+    assert_eq!((c.data, c.tolerated_failures, c.lame_ms), (Some(PathBuf::from("/var/data")), 1, 0));
     let two = controller().replace("Machines: 1", "Machines: 2");
     let two = read(Role::Controller, &two.replace("Bootstrap: true", "Bootstrap: false")).expect("good");
-    assert_eq!((two.core, two.bear, two.first), (0, 2, false));
+    assert_eq!((two.core_size, two.tolerated_failures, two.may_found), (0, 2, false));
 }
 
 #[test]
@@ -116,9 +116,9 @@
 
 fn program(name: &str, file: Option<&str>) -> (Option<i32>, String) {
     let mut c = Command::new(name);
-    c.arg("--platform").env_remove(PATH).stdin(Stdio::null());
+    c.arg("--platform").env_remove(PATH_VARIABLE).stdin(Stdio::null());
     if let Some(f) = file {
-        c.env(PATH, f);
+        c.env(PATH_VARIABLE, f);
     }
     let out = c.output().expect("it starts");
     (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
@@ -136,6 +136,6 @@
         let (code, told) = program(name, Some("/nowhere/boot.yaml"));
         assert!(code == Some(2) && told.contains("/nowhere/boot.yaml"), "{told}");
         let (code, told) = program(name, None);
-        assert!(code == Some(2) && told.contains(PATH), "{told}");
+        assert!(code == Some(2) && told.contains(PATH_VARIABLE), "{told}");
     }
 }
--- a/tests/platform_stop.rs
+++ b/tests/platform_stop.rs
@@ -6,8 +6,8 @@
 
 use road::{LONG, Road, order, say, status};
 use spindledock::chain::leaving::Departure;
-use spindledock::daemon::input::Hand;
-use spindledock::daemon::stop::Stop;
+use spindledock::daemon::input::NodeHandle;
+use spindledock::daemon::stop::Shutdown;
 use spindledock::kernel::time::{BootClock, Span};
 use spindledock::msg::Role;
 use spindledock::standin::raw::{Heard, Step};
@@ -47,16 +47,16 @@
     socket.connect(addr).await.expect("the front listens")
 }
 
-fn stop(road: &Road) -> Stop {
+fn stop(road: &Road) -> Shutdown {
     let (tx, _) = channel();
-    Stop {
+    Shutdown {
         role: Role::Router,
         drain: Span::ms(20_000),
         lame: Duration::ZERO,
         front: road.front.clone(),
         table: road.front.table.clone(),
         clock: Arc::new(BootClock),
-        hand: Hand { tx },
+        node: NodeHandle { tx },
         departure: Arc::new(std::sync::Mutex::new(Departure::default())),
     }
 }
--- a/tests/platform_words.rs
+++ b/tests/platform_words.rs
@@ -9,9 +9,9 @@
 use spindledock::kernel::ids::{Name, OrderId, Term};
 use spindledock::kernel::time::{Span, Time};
 use spindledock::msg::RunnerOrder;
-use spindledock::platform::caller::Caller;
-use spindledock::platform::list::Instances;
-use spindledock::platform::runner::RunnerWords;
+use spindledock::platform::caller::PlatformCaller;
+use spindledock::platform::list::InstanceList;
+use spindledock::platform::runner::PlatformRunner;
 use spindledock::protocol::{Call, CallerProtocol, Load, ResponseOrigin, RunnerListProtocol, RunnerProtocol};
 
 fn heads(rows: &[(&str, &str)]) -> HeaderMap {
@@ -23,8 +23,8 @@
     out
 }
 
-fn words() -> RunnerWords {
-    RunnerWords { node: "node-7".into() }
+fn words() -> PlatformRunner {
+    PlatformRunner { node: "node-7".into() }
 }
 
 fn runner() -> Runner {
@@ -57,27 +57,31 @@
         ("x-deadline-ms", "1500"),
         ("last-event-id", "12"),
     ]);
-    let k = Caller.read_params(&h, b"anything", true).expect("good heads");
+    let k = PlatformCaller.read_params(&h, b"anything", true).expect("good heads");
     assert_eq!((k.model.as_str(), k.adapter.as_str()), ("daka51", "daka51/a3"));
     assert_eq!((k.size.prompt, k.size.out), (1460, 80));
     assert_eq!(*k.parts, [(0x5c1e07a2, 800), (0x91bd3f06, 410), (0xe4402b7d, 250)]);
     assert_eq!((k.due, k.last.as_deref()), (Some(Span::ms(1500)), Some("12")));
-    let bare = Caller.read_params(&HeaderMap::new(), b"", false).expect("no heads are no fault");
+    let bare = PlatformCaller.read_params(&HeaderMap::new(), b"", false).expect("no heads are no fault");
     assert!(bare.model.is_empty() && bare.due.is_none() && bare.parts.is_empty() && bare.last.is_none());
 }
 
 #[test]
 fn given_odd_callers_heads_when_read_then_a_due_that_is_no_number_is_refused_and_hints_are_passed_over() {
     for text in ["soon", "", "1 500", "0x10", "NaN", "inf"] {
-        let told = Caller.read_params(&heads(&[("x-deadline-ms", text)]), b"", false);
+        let told = PlatformCaller.read_params(&heads(&[("x-deadline-ms", text)]), b"", false);
         assert!(told.is_err_and(|why| why.contains("milliseconds")), "{text:?}");
     }
     for (text, ms) in [("0", 0), ("-4", 0), (" 12 ", 12), ("2.5", 2), ("1e3", 1000)] {
-        let k = Caller.read_params(&heads(&[("x-deadline-ms", text)]), b"", false).expect("a number");
+        let k = PlatformCaller.read_params(&heads(&[("x-deadline-ms", text)]), b"", false).expect("a number");
         assert_eq!(k.due.map(Span::as_ms), Some(ms), "{text:?}");
     }
     for rows in ["zz:4", "5c", "5c:x", "5c:4;6d:3", "5c:-1", ":", "\u{e9}:1"] {
-        let k = Caller.read_params(&heads(&[("x-prompt-prefix", rows), ("x-token-count", rows)]), b"", true);
+        let k = PlatformCaller.read_params(
+            &heads(&[("x-prompt-prefix", rows), ("x-token-count", rows)]),
+            b"",
+            true,
+        );
         let k = k.expect("a hint is no fault");
         assert!(k.parts.is_empty() && k.size == Default::default(), "{rows:?}");
     }
@@ -86,13 +90,13 @@
 #[test]
 fn given_a_wait_when_a_caller_is_refused_then_the_text_is_seconds_with_fractions_and_never_none() {
     for (ms, want) in [(0, "0.05"), (300, "0.30"), (1250, "1.25"), (12_000, "12.00")] {
-        assert_eq!(Caller.retry_after(Span::ms(ms)), want);
+        assert_eq!(PlatformCaller.retry_after(Span::ms(ms)), want);
     }
     let row = &route_rows(&platform_given::whole(platform_given::WHOLE).expect("good"))[0].route;
     let route = |kind| Route { kind, aim_ms: 100, gap_ms: 100, ..row.clone() };
     let left = Span::ms(60_000);
-    assert!(Caller.max_wait(left, &route(RouteKind::Stream)) < Span::ms(2000));
-    assert!(Caller.max_wait(left, &route(RouteKind::Once)) < left);
+    assert!(PlatformCaller.max_wait(left, &route(RouteKind::Stream)) < Span::ms(2000));
+    assert!(PlatformCaller.max_wait(left, &route(RouteKind::Once)) < left);
 }
 
 #[test]
@@ -173,8 +177,8 @@
     }
 }
 
-fn list() -> Instances {
-    Instances {
+fn list() -> InstanceList {
+    InstanceList {
         addr: "10.200.0.4:8142".parse().expect("an address"),
         pause: Default::default(),
         timing: Default::default(),
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -11,11 +11,11 @@
 use spindledock::gate::admission::admit;
 use spindledock::gate::order::{Order, Urgency, Why};
 use spindledock::gate::{Gate, Refusal};
-use spindledock::http::own::{OwnCaller, OwnRunner};
+use spindledock::http::native::{NativeCaller, NativeRunner};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
-use spindledock::msg::OperatorCall;
+use spindledock::msg::Op;
 use spindledock::protocol::{CallerProtocol, RunnerProtocol};
 use spindledock::sim::World;
 use spindledock::sim::callers::SimFlow;
@@ -27,7 +27,7 @@
 fn set_tenants(w: &mut World, place: usize, tenants: &[(&str, Option<&[&str]>)]) {
     let rows: Vec<String> = tenants.iter().map(|(name, keys)| row(name, *keys)).collect();
     let text = format!("{{\"rollout\":{{\"refused_percent\":100}},\"tenants\":[{}]}}", rows.join(","));
-    let id = w.ask(place, OperatorCall::PatchConfig { base: None, text });
+    let id = w.ask(place, Op::Part { base: None, text });
     assert_eq!(w.answer(id, Span::ms(12_000)), Some(200), "{:?}", w.answers.get(&id));
 }
 
@@ -123,7 +123,7 @@
     Order {
         service: Name::from("s"),
         path: "/x".into(),
-        routes_version: Version(version),
+        routes_at: Version(version),
         credential: admission.credential,
         rank: admission.rank,
         ..Order::default()
@@ -175,7 +175,7 @@
     let mut heads = hyper::HeaderMap::new();
     heads.insert("x-spindledock-key", "k-1".parse().expect("a value"));
     heads.insert("x-spindledock-tenant", "other".parse().expect("a value"));
-    let key = OwnCaller.take_api_key(&mut heads);
+    let key = NativeCaller.take_api_key(&mut heads);
     assert_eq!(key, Some(KeyDigest::of(b"k-1")));
     let runner = spindledock::fleet::runner::Runner {
         instance: Name::from("i"),
@@ -184,7 +184,7 @@
         addr: "10.0.0.1:80".parse().expect("an address"),
         leaving: false,
     };
-    OwnRunner.add_request_headers(&mut heads, &runner, &order_at(1, &table, "k-1"), None, Span::ms(10));
+    NativeRunner.add_request_headers(&mut heads, &runner, &order_at(1, &table, "k-1"), None, Span::ms(10));
     assert_eq!(heads.get("x-spindledock-tenant").and_then(|v| v.to_str().ok()), Some("one"));
     assert!(heads.get("x-spindledock-key").is_none());
 }
