--- a/src/daemon/assemble.rs
+++ b/src/daemon/assemble.rs
@@ -1,3 +1,5 @@
+//! Assembles the components of a node by its role. The process, the simulator and the tests build their nodes here.
+
 use crate::chain::Chain;
 use crate::chain::change_queue::ChangeQueue;
 use crate::chain::serving_leases::ServingLeases;
@@ -20,28 +22,45 @@
 use crate::runner_list::timing::ListTiming;
 use std::net::SocketAddr;
 
+/// The settings of one node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
+    /// Where other nodes reach this one.
     pub addr: SocketAddr,
+    /// Where operators reach it.
     pub admin: SocketAddr,
+    /// Its failure domain (zone).
     pub domain: Name,
+    /// Addresses of nodes that are contacted first; its own may be among them.
     pub seeds: Vec<SocketAddr>,
+    /// How many controllers found the fleet; 0 means 2 x `tolerated_failures` + 1.
     pub core_size: usize,
+    /// How many lost controllers the fleet tolerates.
     pub tolerated_failures: usize,
+    /// Whether this node may take part in founding a fleet; false once the fleet has been started before.
     pub may_found: bool,
+    /// How long a router may serve after its last proof that its configuration is current.
     pub freshness_limit: Span,
+    /// How long a router may continue while it reaches no controller.
     pub serving_lease: Span,
+    /// How room for a wanted model is made.
     pub policy: Policy,
-    /// Set where there is a list of runners to be read.
+    /// Set if there is a list of runners to be read.
     pub list: Option<ListTiming>,
+    /// The protocols of clients, runners and operators.
     pub protocols: Protocols,
+    /// How exactly quotas are kept.
     pub quota: QuotaSettings,
 }
 
+/// How the placement makes room on full runners for a model that requests want.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Policy {
+    /// Moves models and their requests to other runners.
     Move,
+    /// Makes no room: requests wait.
     Queue,
+    /// Unloads models even if requests are running on them.
     Preempt,
 }
 
@@ -63,6 +82,7 @@
     }
 }
 
+/// A router's node.
 pub fn router(settings: &NodeSettings, now: Time, mut rand: Box<dyn Rand>) -> Node {
     let mut node = Node::new(local_node(settings, NodeId(rand.next() | 1), Role::Router, now), rand);
     node.add(Box::new(Membership::default()));
@@ -74,6 +94,8 @@
     node
 }
 
+/// A controller's node as recovered from `records`, and the records that have to be written first: a new controller's
+/// identity.
 pub fn controller(
     settings: &NodeSettings,
     now: Time,
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -1,3 +1,6 @@
+//! The settings of a process, from a JSON file and from flags. The platform's own settings file is read in
+//! [`crate::platform::settings`].
+
 use crate::constraints::QuotaSettings;
 use crate::distribution::reader::SERVING_LEASE;
 use crate::json::{Reader, Tree};
@@ -9,34 +12,55 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// The settings of one process. Those that [`NodeSettings`](super::assemble::NodeSettings) has too mean the same.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
+    /// Router or controller.
     pub role: Role,
+    /// Where other nodes reach this one.
     pub addr: SocketAddr,
+    /// Where operators reach it.
     pub admin: SocketAddr,
+    /// Where clients reach it; routers only.
     pub http: Option<SocketAddr>,
+    /// Its failure domain (zone).
     pub domain: Name,
+    /// Addresses of nodes that are contacted first.
     pub seeds: Vec<SocketAddr>,
+    /// How many controllers found the fleet; 0 means 2 x `tolerated_failures` + 1.
     pub core_size: usize,
+    /// How many lost controllers the fleet tolerates.
     pub tolerated_failures: usize,
+    /// Whether this node may take part in founding a fleet.
     pub may_found: bool,
+    /// The data folder; controllers only.
     pub data: Option<PathBuf>,
+    /// The time limit of a shutdown.
     pub drain_ms: u64,
+    /// How long a router accepts requests after SIGTERM.
     pub lame_ms: u64,
+    /// How long a router may serve after its last proof that its configuration is current.
     pub freshness_limit_ms: u64,
+    /// How long a router may continue while it reaches no controller.
     pub serving_lease_ms: u64,
+    /// The protocols of clients, runners and operators.
     pub protocols: Protocols,
+    /// How exactly quotas are kept.
     pub quota: QuotaSettings,
+    /// Whether the process runs its I/O on one thread.
     pub is_single_threaded: bool,
 }
 
+/// The keys of the settings; each is also a flag, with `-` for `_`.
 const KEYS: [&str; 13] = [
     "address", "admin", "http", "domain", "seeds", "core", "bear", "first", "data", "drain_ms", "lame_ms",
     "proof_ms", "lease_ms",
 ];
 
+/// What `--restore-as-only` must be given to confirm that all other copies are lost.
 const RESTORE_CONFIRMATION: &str = "I-KNOW-THE-OTHERS-ARE-LOST";
 
+/// The text of `--help` after the name of the program.
 pub const HELP: &str = "\
 Settings come from a JSON file (--config FILE), from flags, or from both; a flag wins.
   --address IP:PORT   where the fleet's own processes reach this one
@@ -58,14 +82,21 @@
                       make this copy the whole chain and end; see docs/operators/machines.md
   --help              print this and end";
 
+/// What the command line asks for.
 pub enum StartMode {
+    /// Print the help.
     Help,
+    /// The settings were checked and are valid.
     Checked,
+    /// Print what the data folder holds.
     Inspect(NodeConfig),
+    /// Make the copy in the data folder the whole chain.
     Restore(NodeConfig),
+    /// Run the node.
     Run(NodeConfig),
 }
 
+/// Reads the command line and the settings file that it names; a flag overrides the file. Fails with all faults found.
 pub fn from_args(role: Role, mut args: Arguments) -> Result<StartMode, Vec<Fault>> {
     if args.contains(["-h", "--help"]) {
         return Ok(StartMode::Help);
@@ -140,6 +171,7 @@
     }
 }
 
+/// The address under `key`; `None` with a fault if it is malformed, or missing although it `must` be there.
 fn address(r: &mut Reader, key: &'static str, must: bool) -> Option<SocketAddr> {
     let text = match (r.take(key), must) {
         (Some(Tree::Text(t)), _) => t.clone(),
@@ -159,6 +191,7 @@
     }
 }
 
+/// Reads and checks the settings of a process with `role`. Fails with all faults found.
 pub fn read(role: Role, tree: &Tree) -> Result<NodeConfig, Vec<Fault>> {
     let mut r = Reader::new("", tree);
     let addr = address(&mut r, "address", true);
--- a/src/daemon/disk_writer.rs
+++ b/src/daemon/disk_writer.rs
@@ -1,3 +1,6 @@
+//! Writes a node's records on a thread of its own, so that a slow disk does not stall the node. A failed write is
+//! repeated until it succeeds or the node begins a new incarnation.
+
 use super::input::Input;
 use crate::kernel::disk::Disk;
 use crate::kernel::hold::{WriteBatch, write_batch};
@@ -6,10 +9,14 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
+/// How often the free space is read while nothing is written.
 const FREE_SPACE_PERIOD: Duration = Duration::from_secs(1);
+/// The pause after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The most batches that are written and synced together.
 const JOBS_PER_WRITE_MAX: usize = 256;
 
+/// What the thread shares with the driver.
 #[derive(Clone)]
 struct SharedDisk {
     disk: Arc<Mutex<Box<dyn Disk>>>,
@@ -17,12 +24,14 @@
     free_bytes: Arc<AtomicU64>,
 }
 
+/// A handle to the disk thread.
 pub struct DiskWriter {
     shared: SharedDisk,
     tx: Sender<(u64, WriteBatch)>,
 }
 
 impl DiskWriter {
+    /// Starts the thread; `inputs` receives [`Input::Synced`] after each successful write.
     pub fn start(disk: Box<dyn Disk>, inputs: Sender<Input>) -> DiskWriter {
         let free_bytes = Arc::new(AtomicU64::new(disk.room()));
         let shared = SharedDisk { disk: Arc::new(Mutex::new(disk)), incarnation: Arc::default(), free_bytes };
@@ -33,19 +42,24 @@
         DiskWriter { shared, tx }
     }
 
+    /// Begins a new incarnation of the node and locks the disk for it. Batches of earlier incarnations that are still
+    /// queued are dropped.
     pub fn start_incarnation(&self) -> MutexGuard<'_, Box<dyn Disk>> {
         self.shared.incarnation.fetch_add(1, Ordering::SeqCst);
         self.shared.disk.lock().unwrap()
     }
 
+    /// The number of the current incarnation.
     pub fn incarnation(&self) -> u64 {
         self.shared.incarnation.load(Ordering::SeqCst)
     }
 
+    /// Queues a batch for writing.
     pub fn write(&self, job: WriteBatch) {
         let _ = self.tx.send((self.incarnation(), job));
     }
 
+    /// The free space on the disk in bytes, as last read.
     pub fn free_bytes(&self) -> u64 {
         self.shared.free_bytes.load(Ordering::SeqCst)
     }
@@ -76,6 +90,8 @@
         }
     }
 
+    /// Writes the batches of incarnation `incarnation`, retrying until it succeeds. Returns false if a newer incarnation
+    /// has begun.
     fn write_batch(&self, incarnation: u64, jobs: Vec<(u64, WriteBatch)>) -> bool {
         let rows: Vec<_> = jobs.into_iter().filter(|j| j.0 == incarnation).flat_map(|j| j.1.writes).collect();
         let mut was_reported = false;
--- a/src/daemon/driver.rs
+++ b/src/daemon/driver.rs
@@ -1,4 +1,4 @@
-//! Drives a node: queues what comes in, feeds it by urgency, ticks in time, and carries out what it asks for.
+//! The main loop of a node: queues inputs, feeds them to the node by urgency, ticks on time, and carries out effects.
 
 use super::disk_writer::DiskWriter;
 use super::effects::NodeRun;
@@ -19,33 +19,44 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
+/// The tick period of a controller without inputs.
 const CONTROLLER_TICK_PERIOD: Span = Span::ms(20);
+/// The tick period of a router without inputs.
 const ROUTER_TICK_PERIOD: Span = Span::ms(50);
-/// How many urgent inputs are served before their effects are carried out.
+/// How many urgent inputs are handled before their effects are carried out.
 const BATCH: usize = 256;
-/// How long a node that could not be started waits before it is tried again.
+/// The pause before a node that could not be started is started again.
 const RESTART_PAUSE: Duration = Duration::from_millis(500);
 
-/// For so long a node is at work before the runtime gets a turn to send and receive.
+/// How long a node works before the runtime gets a turn to send and receive.
 pub const WORK_BETWEEN_TURNS: Span = Span::ms(10);
 
+/// Carries out the effects that concern the rest of the process.
 pub type EffectHandler = Box<dyn Fn(Effect) + Send>;
 /// Waits until the runtime has carried out what it was given so far.
 pub type RuntimeTurn = Box<dyn Fn() + Send>;
+/// Builds a node from its records on disk; returns also the records that are to be written first.
 pub type NodeBuilder = Box<dyn Fn(Vec<Record>) -> (Node, Vec<Record>) + Send>;
 
+/// Runs one node, and starts it again after a reset.
 pub struct Driver {
+    /// The clock of the node.
     pub clock: Arc<dyn Clock>,
+    /// The links to other nodes.
     pub links: Arc<Links>,
+    /// The node's disk; only controllers have one.
     pub disk: Option<DiskWriter>,
+    /// Builds the node.
     pub build: NodeBuilder,
+    /// Carries out what the driver does not.
     pub act: EffectHandler,
-    /// Threads may share one core: a node that is never idle would keep its own messages from leaving without it.
+    /// Gives the runtime a turn. Where all threads share one core, a node that is never idle would otherwise keep its own
+    /// messages from being sent.
     pub turn: RuntimeTurn,
 }
 
 impl Driver {
-    /// A node as its disk tells, and the damaged files that were set aside.
+    /// The node as recovered from its disk, and the path under which a damaged log was set aside.
     fn load_node(&self) -> Result<(Node, Option<String>), String> {
         let (mut records, mut set_aside) = (Vec::new(), None);
         let mut disk = self.disk.as_ref().map(DiskWriter::start_incarnation);
@@ -69,7 +80,7 @@
         Ok((node, set_aside))
     }
 
-    /// Runs the node until it is told to stop.
+    /// Runs the node until `Input::Stop` arrives or all senders are gone.
     pub fn run(self, rx: Receiver<Input>) {
         let mut current: Option<NodeRun> = None;
         let mut queue = InputQueue::default();
@@ -102,6 +113,7 @@
         }
     }
 
+    /// Starts the node; `None` if its disk can't be read or its first effects end it.
     fn start_node(&self) -> Option<NodeRun> {
         let (mut node, set_aside) = match self.load_node() {
             Ok(loaded) => loaded,
@@ -117,7 +129,7 @@
         self.apply_effects(&mut run, out).then_some(run)
     }
 
-    /// Queues all that has come in, and waits for the first of it if need be; false once the node is to stop.
+    /// Queues all inputs that have arrived, waiting up to `wait` for the first one; false once the node is to stop.
     fn receive(&self, rx: &Receiver<Input>, wait: Duration, queue: &mut InputQueue<Input>) -> bool {
         let first = match rx.recv_timeout(wait) {
             Ok(input) => Some(input),
@@ -134,8 +146,8 @@
         true
     }
 
-    /// Serves urgent inputs, at most one of the duty's or the routers', and the tick if it is due; whether the node
-    /// goes on.
+    /// Handles a batch of urgent inputs, which ends with the first input of a less urgent lane, and the tick if it is due.
+    /// Returns whether the node continues.
     fn step(
         &self,
         run: &mut NodeRun,
@@ -180,6 +192,7 @@
         continues
     }
 
+    /// Tells the node how much space its disk has and how slow it is.
     fn update_disk_state(&self, run: &mut NodeRun) {
         let Some(disk) = &self.disk else { return };
         let now = self.clock.now();
@@ -188,11 +201,13 @@
         run.node.is_write_stuck = run.hold.is_stuck(now);
     }
 
+    /// The effects that waited for the batches up to `up_to`; none if an earlier incarnation wrote them.
     fn synced(&self, run: &mut NodeRun, incarnation: u64, up_to: u64) -> Vec<Effect> {
         let is_current = self.disk.as_ref().is_some_and(|d| d.incarnation() == incarnation);
         if is_current { run.hold.release_synced(self.clock.now(), up_to) } else { vec![] }
     }
 
+    /// Logs the figures of an interval that has ended.
     fn log_interval(&self, run: &mut NodeRun, queue: &mut InputQueue<Input>, now: Time) {
         if log_step_times(&mut run.node, now) {
             let lanes = lanes_line(queue, now);
@@ -203,7 +218,7 @@
     }
 }
 
-/// Waits before the node is started again; inputs that came meanwhile are lost. False once it is to stop.
+/// Waits before the node is started again; inputs that arrive meanwhile are lost. False if the driver is to stop.
 fn wait_for_restart(rx: &Receiver<Input>) -> bool {
     std::thread::sleep(RESTART_PAUSE);
     !rx.try_iter().any(|input| matches!(input, Input::Stop))
--- a/src/daemon/effects.rs
+++ b/src/daemon/effects.rs
@@ -1,4 +1,4 @@
-//! What a node asks of its driver: messages, writes, answers, and deeds of the rest of the process.
+//! Carries out the effects of a node: messages, disk writes, answers, and actions of the rest of the process.
 
 use super::driver::Driver;
 use super::node_io::log_journal;
@@ -12,20 +12,24 @@
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
 
-/// One life of a node.
+/// One incarnation of a node, from its start to a reset.
 pub(super) struct NodeRun {
     pub(super) node: Node,
+    /// The operators who wait for an answer, by the id of their call.
     pub(super) waiting_callers: BTreeMap<ChangeId, Vec<oneshot::Sender<Answer>>>,
-    /// What the node sent to itself.
+    /// Messages that the node has sent to itself.
     pub(super) to_self: VecDeque<Event>,
+    /// How many entries of the journal have been logged.
     pub(super) logged_up_to: u64,
+    /// Effects that wait until earlier writes are synced.
     pub(super) hold: SyncGate,
-    /// Damaged files that were kept under other names when this life of the node began.
+    /// The path under which a damaged log was kept when this incarnation began.
     pub(super) set_aside: Option<String>,
 }
 
 impl Driver {
-    /// Shows what happened, and carries out the effects of a step; whether the node goes on.
+    /// Logs new journal entries and carries out the effects of a step. Effects that depend on a disk write wait until it
+    /// is synced. Returns whether the node continues.
     pub(super) fn apply_effects(&self, run: &mut NodeRun, out: Vec<Effect>) -> bool {
         log_journal(&run.node, &mut run.logged_up_to);
         let (out, job) = run.hold.submit(self.clock.now(), out);
@@ -35,6 +39,7 @@
         self.carry_out(run, out)
     }
 
+    /// Carries out effects that need not wait; returns whether the node continues.
     pub(super) fn carry_out(&self, run: &mut NodeRun, out: Vec<Effect>) -> bool {
         for effect in out {
             match effect {
@@ -67,6 +72,7 @@
         true
     }
 
+    /// Queues a message for the node at `addr`.
     fn send_to_peer(&self, node: &Node, to: NodeId, addr: SocketAddr, msg: Msg) {
         let (from, fleet) = (node.me.node, node.views.fleet);
         let (class, kind) = (class_of_message(from, &msg), msg.kind());
--- a/src/daemon/input.rs
+++ b/src/daemon/input.rs
@@ -1,4 +1,4 @@
-//! What enters a node's driver, and the handle by which the rest of the process reaches it.
+//! The inputs of a node's driver, and the handle by which the rest of the process sends them.
 
 use crate::kernel::ids::ChangeId;
 use crate::kernel::lanes::{Class, Lane, class_of, class_of_message};
@@ -7,18 +7,26 @@
 use std::sync::mpsc::Sender;
 use tokio::sync::oneshot;
 
+/// An input of the driver.
 pub enum Input {
+    /// An event of this process.
     Event(Event),
+    /// A message from another node.
     Envelope(Box<Envelope>),
+    /// A call of an operator, with its id and the channel for the answer.
     Ask(ChangeId, Event, oneshot::Sender<Answer>),
+    /// A query for the status document.
     Status(oneshot::Sender<String>),
+    /// New seed addresses from reloaded settings.
     Seeds(Vec<SocketAddr>),
+    /// The disk writer of this incarnation has synced all batches up to this number.
     Synced { incarnation: u64, up_to: u64 },
+    /// Stops the driver.
     Stop,
 }
 
 impl Input {
-    /// How it is queued before the node.
+    /// The lane in which it is queued, and whether it may be dropped.
     pub fn class(&self) -> Class {
         match self {
             Input::Event(event) => class_of(event),
@@ -29,16 +37,21 @@
     }
 }
 
+/// A handle to the node of this process.
 #[derive(Clone)]
 pub struct NodeHandle {
+    /// The queue of the driver.
     pub tx: Sender<Input>,
 }
 
 impl NodeHandle {
+    /// Sends an event to the node; it is lost if the driver has stopped.
     pub fn send(&self, event: Event) {
         let _ = self.tx.send(Input::Event(event));
     }
 
+    /// Sends the call `id` of an operator and waits for its answer. If the driver stops before it answers, a change is
+    /// reported as undecided and a read as refused.
     pub async fn ask(&self, id: ChangeId, event: Event) -> Answer {
         let (tx, rx) = oneshot::channel();
         let is_change = matches!(event, Event::OperatorCall { .. });
@@ -52,6 +65,7 @@
         rx.await.unwrap_or_else(|_| fallback())
     }
 
+    /// The status of the node as a JSON document; empty if the driver has stopped.
     pub async fn status(&self) -> String {
         let (tx, rx) = oneshot::channel();
         let _ = self.tx.send(Input::Status(tx));
--- a/src/daemon/links.rs
+++ b/src/daemon/links.rs
@@ -1,3 +1,6 @@
+//! Links to other nodes: one TCP connection per peer and direction, with a bounded queue of messages by urgency. Messages
+//! may be lost; the protocols above repeat what they need.
+
 use super::traffic::Traffic;
 use crate::kernel::input_queue::InputQueue;
 use crate::kernel::lanes::Class;
@@ -15,20 +18,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, Semaphore};
 
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The time limit of writing one message; after it the connection is replaced.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause after the first failed connection attempt; it doubles with each further one.
 const RECONNECT_DELAY_MIN: Duration = Duration::from_millis(100);
+/// The longest pause between connection attempts.
 const RECONNECT_DELAY_MAX: Duration = Duration::from_millis(800);
+/// A link without messages is closed after this long.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// An incoming link without messages is closed after this long.
 const READ_TIMEOUT: Duration = Duration::from_secs(90);
+/// A link is dropped if written bytes stay unacknowledged for this long.
 const UNACKNOWLEDGED_TIMEOUT_MS: libc::c_int = 2000;
+/// Messages that have waited longer are dropped instead of sent.
 const MESSAGE_AGE_MAX: Span = Span::ms(2000);
+/// The most messages that wait for one peer.
 const QUEUE_LENGTH_MAX: usize = 256;
-/// The longest that a turn of the runtime is waited for.
+/// The longest wait for a turn of the runtime.
 const TURN_WAIT_MAX: Duration = Duration::from_millis(50);
+/// The most connection attempts at a time.
 const CONCURRENT_CONNECTS_MAX: usize = 32;
 
-/// The messages that wait for one peer: the most urgent first, the same way as before a node.
+/// The messages that wait for one peer, the most urgent first, in the same lanes as a node's inputs.
 pub struct PeerQueue {
     messages: Mutex<InputQueue<Vec<u8>>>,
     message_added: Notify,
@@ -44,7 +57,8 @@
 }
 
 impl PeerQueue {
-    /// Queues a message; how many were dropped for it. A peer may be away for long, so any message may be.
+    /// Queues an encoded message and returns how many messages were dropped for it. The peer may be unreachable for long,
+    /// so any message may be dropped, whatever its class.
     pub fn add(&self, now: Time, class: Class, raw: Vec<u8>) -> u64 {
         let mut messages = self.messages.lock().unwrap();
         let before = messages.dropped();
@@ -53,7 +67,7 @@
         messages.dropped() - before
     }
 
-    /// The next message that is not too old, and how many were.
+    /// The next message that is not too old, and how many older ones were dropped.
     pub fn next(&self, now: Time) -> (Option<Vec<u8>>, u64) {
         let mut messages = self.messages.lock().unwrap();
         let mut old = 0;
@@ -71,12 +85,16 @@
     }
 }
 
+/// The links of one node.
 pub struct Links {
     runtime: tokio::runtime::Handle,
     queues: Mutex<BTreeMap<SocketAddr, Arc<PeerQueue>>>,
     connect_permits: Semaphore,
+    /// How many incoming links were closed because of a malformed frame.
     pub bad_frames: AtomicU64,
+    /// How many messages were dropped instead of sent.
     pub dropped_messages: AtomicU64,
+    /// Messages and bytes by kind.
     pub traffic: Traffic,
 }
 
@@ -86,9 +104,11 @@
     }
 }
 
+/// Takes the messages that arrive.
 pub type MessageHandler = Arc<dyn Fn(Envelope) + Send + Sync>;
 
 impl Links {
+    /// Creates the links; their tasks run on `runtime`.
     pub fn new(runtime: tokio::runtime::Handle) -> Arc<Links> {
         Arc::new(Links {
             runtime,
@@ -100,6 +120,7 @@
         })
     }
 
+    /// Queues an encoded message for `addr`. The link is opened when needed; a message may be lost without notice.
     pub fn send(self: &Arc<Links>, addr: SocketAddr, class: Class, kind: &'static str, raw: Vec<u8>) {
         self.traffic.sent(kind, raw.len());
         let mut queues = self.queues.lock().unwrap();
@@ -112,7 +133,7 @@
         self.dropped_messages.fetch_add(dropped, Ordering::Relaxed);
     }
 
-    /// Waits until the runtime has carried out what it was given so far.
+    /// Waits until the runtime has run the tasks that it was given so far, at most `TURN_WAIT_MAX`.
     pub fn wait_for_runtime(&self) {
         let (done, turn) = std::sync::mpsc::sync_channel(1);
         self.runtime.spawn(async move {
@@ -121,6 +142,7 @@
         let _ = turn.recv_timeout(TURN_WAIT_MAX);
     }
 
+    /// Accepts links from other nodes and passes their messages to `handler`.
     pub async fn listen(self: Arc<Links>, socket: TcpListener, handler: MessageHandler) {
         loop {
             let Ok((tcp, from)) = socket.accept().await else {
@@ -138,11 +160,13 @@
         }
     }
 
+    /// Removes an idle link's queue, unless a message was added meanwhile; returns whether it did.
     fn remove_if_empty(&self, addr: &SocketAddr, queue: &PeerQueue) -> bool {
         let mut queues = self.queues.lock().unwrap();
         queue.is_empty() && queues.remove(addr).is_some()
     }
 
+    /// Opens a connection; `None` if that fails or takes too long.
     async fn connect(&self, addr: SocketAddr) -> Option<TcpStream> {
         let _permit = self.connect_permits.acquire().await.ok()?;
         let tcp = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await.ok()?.ok()?;
@@ -151,6 +175,7 @@
         Some(tcp)
     }
 
+    /// Sends the messages of one queue until the link has been idle for `IDLE_TIMEOUT`.
     async fn run_writer(self: Arc<Links>, addr: SocketAddr, queue: Arc<PeerQueue>) {
         let (mut tcp, mut reconnect_delay): (Option<TcpStream>, Duration) = (None, RECONNECT_DELAY_MIN);
         loop {
@@ -184,6 +209,7 @@
     }
 }
 
+/// Applies `UNACKNOWLEDGED_TIMEOUT_MS` to a link; logs a warning if the kernel refuses.
 fn set_unacknowledged_timeout(tcp: &TcpStream) {
     let ms = UNACKNOWLEDGED_TIMEOUT_MS;
     let size = std::mem::size_of_val(&ms) as libc::socklen_t;
@@ -195,6 +221,7 @@
     }
 }
 
+/// Reads messages until the link ends or is idle for `READ_TIMEOUT`. Fails on a malformed frame.
 async fn read(
     mut tcp: TcpStream,
     handler: &MessageHandler,
@@ -217,7 +244,7 @@
     }
 }
 
-/// Drops a link whose peer has been silent for `span` with bytes under way.
+/// Makes the kernel drop a connection whose peer has not acknowledged written bytes for `span`.
 pub fn limit_unacknowledged_time(tcp: &TcpStream, span: Duration) {
     use std::os::fd::AsRawFd;
     let ms = span.as_millis() as libc::c_uint;
@@ -225,6 +252,7 @@
     unsafe { libc::setsockopt(tcp.as_raw_fd(), libc::IPPROTO_TCP, libc::TCP_USER_TIMEOUT, at, len) };
 }
 
+/// Whether the peer has closed the link. Peers send nothing on it, so a byte that is read here is not missed.
 fn is_closed(tcp: &TcpStream) -> bool {
     let mut one = [0u8; 1];
     matches!(tcp.try_read(&mut one), Ok(0))
--- a/src/daemon/listener.rs
+++ b/src/daemon/listener.rs
@@ -1,4 +1,4 @@
-//! Listening for HTTP/1.1: callers of this node's admin address, and clients within the configured limits.
+//! HTTP/1.1 listeners: one for the admin address, and one for clients with the configured limits.
 
 use crate::http::answer::{AnswerBody, timeout_answer};
 use crate::http::client::{ClientConnection, ClientConnections};
@@ -20,23 +20,24 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The work of answering one request.
+/// The future that answers one request.
 pub type AnswerFuture = Pin<Box<dyn Future<Output = Response<AnswerBody>> + Send>>;
-/// What answers the requests of a listener.
+/// Answers the requests of a listener.
 pub type RequestHandler = Arc<dyn Fn(Request<Incoming>) -> AnswerFuture + Send + Sync>;
 
-/// How long a head may take at the admin address.
+/// The time limit of a request head at the admin address.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 /// The pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Listens at `addr`; `what` names it in a fault.
+/// Listens at `addr`. Fails if the address can't be bound; `what` names the setting in the fault.
 pub async fn bind(addr: SocketAddr, what: &str) -> Result<TcpListener, Report<Fault>> {
     let remedy = "free the port or set another";
     let make = |e: &std::io::Error| Fault::new(Kind::Net, format!("{what} {addr}"), e.to_string(), remedy);
     TcpListener::bind(addr).await.map_err(|e| Report::new(make(&e)))
 }
 
+/// The next connection.
 async fn accept(socket: &TcpListener) -> TcpStream {
     loop {
         if let Ok((tcp, _)) = socket.accept().await {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Answers the callers of an admin address.
+/// Serves the admin address.
 pub async fn serve_admin(socket: TcpListener, handler: RequestHandler) {
     loop {
         let tcp = accept(&socket).await;
@@ -64,7 +65,7 @@
     }
 }
 
-/// Answers clients, within the limits that `clients` knows.
+/// Serves clients, within the limits that `clients` holds.
 pub async fn serve_clients(socket: TcpListener, handler: RequestHandler, clients: Arc<ClientConnections>) {
     loop {
         let tcp = accept(&socket).await;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,3 +1,9 @@
+//! The process around a node: settings, sockets, threads, disk, signals and shutdown.
+//!
+//! A node ([`crate::kernel::node`]) is a state machine without I/O. [`driver`] runs it on a thread of its own and carries
+//! out its effects; [`run`] assembles the whole process. The simulator and the explorer drive the same nodes without
+//! this module.
+
 pub mod assemble;
 pub mod config;
 pub mod disk_writer;
--- a/src/daemon/node_io.rs
+++ b/src/daemon/node_io.rs
@@ -1,3 +1,5 @@
+//! Received messages on their way into the node, and the node's journal, status and figures on their way out.
+
 use super::effects::NodeRun;
 use super::input::Input;
 use crate::json::tree::{Tree, map};
@@ -7,6 +9,7 @@
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
 
+/// Feeds a received message to the node. A message of another fleet or for another node is dropped.
 pub fn deliver(node: &mut Node, now: Time, envelope: Envelope) -> Vec<Effect> {
     let own_fleet = node.views.fleet;
     let is_other_fleet = own_fleet.0 != 0 && envelope.fleet.0 != 0 && own_fleet != envelope.fleet;
@@ -16,6 +19,7 @@
     node.feed(now, Event::Message { from: envelope.from, fleet: envelope.fleet, msg: envelope.msg })
 }
 
+/// Writes the entries of the node's journal from `logged_up_to` on to the log.
 pub fn log_journal(node: &Node, logged_up_to: &mut u64) {
     let at = *logged_up_to;
     for (_, _, note) in node.journal.since(at) {
@@ -28,7 +32,7 @@
     *logged_up_to = node.journal.len();
 }
 
-/// What the node of this process tells of itself, its disk and its inputs.
+/// The status document: the node, its disk and its inputs.
 pub(super) fn status(run: &NodeRun, queue: &InputQueue<Input>, now: Time) -> Tree {
     let mut all = node_status(&run.node, now);
     if let Some(kept) = &run.set_aside {
@@ -44,7 +48,7 @@
     all
 }
 
-/// Each lane as `length/oldest/longest wait/dropped/replaced`, times in milliseconds.
+/// Each lane as `name=length/oldest/longest wait/dropped/replaced`, times in milliseconds.
 pub(super) fn lanes_line(queue: &InputQueue<Input>, now: Time) -> String {
     let row = |(lane, s): (Lane, LaneState)| {
         let (oldest, longest) = (s.oldest.as_ms(), s.longest.as_ms());
@@ -70,7 +74,7 @@
     Tree::Map(rows)
 }
 
-/// Logs how long the steps of the last interval took, once it has ended; whether it has.
+/// Logs how long the node's steps took in the last interval, once it has ended; returns whether it has.
 pub fn log_step_times(node: &mut Node, now: Time) -> bool {
     let Some(figures) = node.step_times.as_mut().and_then(|times| times.ended(now)) else { return false };
     let (all, components, kinds) = (figures.all, figures.components(), figures.kinds());
--- a/src/daemon/panics.rs
+++ b/src/daemon/panics.rs
@@ -1,8 +1,8 @@
-//! The end of a process in which a thread panicked.
+//! Ends the process when a thread panics.
 //!
-//! A panic may leave a lock poisoned and the state behind it half changed. Whatever needs that lock serves nothing from
-//! then on, while the process still listens. So the process ends at once: its clients see their connections end, the
-//! platform starts it anew, and the log names the place.
+//! A panic may leave a lock poisoned and the state behind it half changed. Whatever needs that lock would then fail while
+//! the process still accepts connections. So the process ends at once: its clients see their connections close, the
+//! platform restarts it, and the log names the place.
 #![deny(missing_docs)]
 
 use std::backtrace::{Backtrace, BacktraceStatus};
@@ -12,16 +12,16 @@
 /// The exit code of a process that panicked (`EX_SOFTWARE`).
 pub const PANIC_EXIT: i32 = 70;
 
-/// From now on a panic, on whatever thread, ends the process.
+/// Installs a panic hook: from now on a panic on any thread ends the process with [`PANIC_EXIT`].
 pub fn end_process_on_panic() {
     std::panic::set_hook(Box::new(|panic| {
         report(panic);
-        // Not `exit`: what runs at an orderly exit may wait for a lock that this thread holds.
+        // Not `exit`: exit handlers may wait for a lock that this thread holds.
         unsafe { libc::_exit(PANIC_EXIT) }
     }));
 }
 
-/// Writes the event past the logger, whose own lock this thread may hold.
+/// Writes the event to stderr directly: this thread may hold the logger's lock.
 fn report(panic: &PanicHookInfo) {
     let thread = std::thread::current();
     let place = panic.location().map_or_else(|| "unknown".to_string(), |place| place.to_string());
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,3 +1,5 @@
+//! Reloads the settings of a running process.
+
 use super::config::{NodeConfig, StartMode, from_args};
 use super::input::{Input, NodeHandle};
 use crate::kernel::fault::Fault;
@@ -7,18 +9,24 @@
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::Signal;
 
+/// How often the modification time of the settings file is checked.
 const FILE_CHECK_PERIOD: Duration = Duration::from_secs(3);
 
+/// Reads the settings; fails with all their faults.
 pub type SettingsReader = Arc<dyn Fn() -> Result<StartMode, Vec<Fault>> + Send + Sync>;
 
-/// Where this process's settings come from, now and whenever they are read again.
+/// The source of this process's settings, at the start and for each reload.
 #[derive(Clone)]
 pub struct SettingsSource {
+    /// Reads the settings.
     pub read: SettingsReader,
+    /// The settings file, if there is one.
     pub file: Option<PathBuf>,
 }
 
 impl SettingsSource {
+    /// The source that the command line names: `--platform` for the platform's settings file, otherwise flags and the
+    /// file of `--config`.
     pub fn new(role: Role, mut args: pico_args::Arguments) -> SettingsSource {
         if args.contains("--platform") {
             let file = crate::platform::settings::path();
@@ -36,7 +44,8 @@
     }
 }
 
-/// Reads the settings again on SIGHUP or when the file changed; faulty ones leave the old in force.
+/// Reloads the settings on SIGHUP or when the file has changed. Only changed seeds take effect; faulty settings are logged
+/// and ignored.
 pub async fn watch(source: SettingsSource, now: NodeConfig, node: NodeHandle, mut hang_up: Signal) {
     let mut seen = source.modified_at();
     let mut seeds = now.seeds;
--- a/src/daemon/restore.rs
+++ b/src/daemon/restore.rs
@@ -1,8 +1,11 @@
+//! Offline work on a controller's data folder: `--inspect` and `--restore-as-only`.
+
 use super::config::NodeConfig;
 use crate::chain::recovery::{inspect_records, restore_as_only};
 use crate::kernel::disk::{Disk, LogFile};
 use std::process::ExitCode;
 
+/// Prints what the data folder holds; with `write`, also makes its copy the whole chain. Returns 0, or 1 on a fault.
 pub fn run(config: &NodeConfig, write: bool) -> ExitCode {
     match inspect_or_restore(config, write) {
         Ok(text) => {
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,3 +1,5 @@
+//! The main function of routers and controllers: starts the parts of the process and connects them.
+
 use super::assemble::{NodeSettings, controller, router};
 use super::config::{HELP, NodeConfig, StartMode};
 use super::disk_writer::DiskWriter;
@@ -25,11 +27,12 @@
 use std::sync::{Arc, Mutex, mpsc};
 use std::time::Duration;
 
-/// Every how many ticks of a router the limits on clients are applied.
+/// Every how many ticks of a router's gates the limits on client connections are applied.
 const SWEEP_TICKS: u32 = 4;
 
 type Runners = Arc<Mutex<Vec<crate::fleet::runner::Runner>>>;
 
+/// Runs a process of this role to its end. Returns 2 if the settings are faulty and 1 if the node could not start.
 pub fn main(role: Role) -> std::process::ExitCode {
     let name = if role == Role::Router { "spindledock-router" } else { "spindledock-controller" };
     let source = SettingsSource::new(role, pico_args::Arguments::from_env());
@@ -69,6 +72,7 @@
     }
 }
 
+/// The settings of the node within the process.
 pub fn node_settings(c: &NodeConfig) -> NodeSettings {
     NodeSettings {
         addr: c.addr,
@@ -87,6 +91,7 @@
     }
 }
 
+/// Starts all parts of the process, waits for a signal to stop, and shuts down.
 async fn run(c: NodeConfig, source: SettingsSource) -> Result<(), Report<Fault>> {
     let mut signals = Signals::catch();
     let start = || Fault::new(Kind::Config, "start", "this node did not start", "mend the cause below");
@@ -172,6 +177,7 @@
     std::process::exit(0);
 }
 
+/// Carries out the effects of the node that concern routing, calls to runners and readiness.
 fn act(
     table: &Arc<Table>,
     clock: &Arc<dyn Clock>,
@@ -218,6 +224,7 @@
     })
 }
 
+/// Starts what only a router does: it reports its state and its wants to the node, and ticks its gates.
 fn router_tasks(
     table: &Arc<Table>,
     clock: &Arc<dyn Clock>,
--- a/src/daemon/runner_calls.rs
+++ b/src/daemon/runner_calls.rs
@@ -1,4 +1,6 @@
-use crate::fleet::runner::{RunnerReport, Runner};
+//! Calls to runners on behalf of the node, and the periodic report of a router's state to it.
+
+use crate::fleet::runner::{Runner, RunnerReport};
 use crate::gate::Table;
 use crate::http::connection::SendError;
 use crate::http::pool::{Pool, always_allowed};
@@ -9,9 +11,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Every how many rounds the traffic by route is part of a router's report.
 const TRAFFIC_EVERY_ROUNDS: u64 = 8;
+/// The time limit of a call to a runner.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
+/// Asks a runner for its report; `None` if it gives no valid one in time.
 pub async fn fetch_report(pool: &Pool, side: &dyn RunnerProtocol, runner: &Runner) -> Option<RunnerReport> {
     let call = side.report(runner);
     let sent = call.headers().clone();
@@ -24,7 +29,14 @@
     side.read_report(runner, &body)
 }
 
-pub async fn send_order(pool: &Pool, side: &dyn RunnerProtocol, clock: Arc<dyn Clock>, o: &RunnerOrder) -> u16 {
+/// Sends an order to load or unload to a runner, unless its due time has passed. Returns the status of the answer, 499
+/// if the order was not sent, and 0 if it may have arrived but has no answer.
+pub async fn send_order(
+    pool: &Pool,
+    side: &dyn RunnerProtocol,
+    clock: Arc<dyn Clock>,
+    o: &RunnerOrder,
+) -> u16 {
     let due = o.due;
     let check = Arc::new(move || clock.now() < due);
     let call = side.order_request(o);
@@ -37,6 +49,8 @@
     }
 }
 
+/// Reports the state of this router to its node every 250 ms, with the result of rehearsing the current candidate
+/// configuration. Each candidate is rehearsed once; `recent` gives the requests that it is rehearsed against.
 pub async fn publish_router_state(
     table: Arc<Table>,
     clock: Arc<dyn Clock>,
--- a/src/daemon/runner_list_poller.rs
+++ b/src/daemon/runner_list_poller.rs
@@ -1,3 +1,5 @@
+//! Reads the list of runners from the service that keeps it, and passes it to the node.
+
 use super::input::NodeHandle;
 use crate::fleet::runner::Runner;
 use crate::http::pool::{Pool, always_allowed};
@@ -10,10 +12,12 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
+/// The time limit of reading one page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The most pages of one reading.
 const PAGES_MAX: usize = 64;
 
-/// Asks for the list of runners: again and again while this node holds the duty to, else when it is told to.
+/// Reads the list of runners: periodically while this node holds the duty, otherwise on demand.
 pub struct RunnerListPoller {
     side: Arc<dyn RunnerListProtocol>,
     pool: Arc<Pool>,
@@ -43,11 +47,12 @@
         Some(r)
     }
 
+    /// Switches the periodic reading on or off.
     pub fn set_enabled(&self, is_enabled: bool) {
         self.is_enabled.store(is_enabled, Ordering::SeqCst);
     }
 
-    /// Reads the list once, soon.
+    /// Requests one reading of the list, as soon as possible.
     pub fn read_now(&self) {
         self.read_requested.notify_one();
     }
@@ -71,6 +76,7 @@
         }
     }
 
+    /// Reads all pages of the list; `None` if a page can't be read.
     async fn read_all_pages(&self) -> Option<Vec<Runner>> {
         let mut all = Vec::new();
         let mut page = None;
--- a/src/daemon/signals.rs
+++ b/src/daemon/signals.rs
@@ -1,20 +1,20 @@
-//! The signals that a process is told something by.
+//! The signals that a process reacts to.
 #![deny(missing_docs)]
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that tell a process something; one that comes before they are caught ends it.
+/// The signals that a process handles. One that arrives before [`Signals::catch`] ends the process.
 pub struct Signals {
-    /// Read the settings again.
+    /// SIGHUP: reload the settings.
     pub hang_up: Signal,
-    /// Stop in order.
+    /// SIGTERM: shut down in order.
     pub terminate: Signal,
-    /// Stop in order.
+    /// SIGINT: shut down in order.
     pub interrupt: Signal,
 }
 
 impl Signals {
-    /// From now on they are caught, and kept until somebody waits for them.
+    /// Installs the handlers. From now on signals are kept until somebody waits for them.
     pub fn catch() -> Signals {
         let catch = |kind| signal(kind).expect("signals can be caught");
         Signals {
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -1,3 +1,5 @@
+//! Readiness and metrics of this process, as its admin API shows them.
+
 use super::config::NodeConfig;
 use super::input::NodeHandle;
 use super::links::Links;
@@ -12,6 +14,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::net::TcpListener;
 
+/// Serves the admin API on `socket`. `flags` are whether the process is stopping and whether a controller is ready.
 pub fn serve_admin_api(
     config: &NodeConfig,
     node: &NodeHandle,
@@ -55,6 +58,7 @@
     tokio::spawn(serve_admin(socket, Arc::new(move |order| Box::pin(api.clone().answer(order)))));
 }
 
+/// The metrics of quotas.
 fn quota_metrics(table: &Table, now: Time) -> String {
     let mut shares = table.quota.lock().unwrap();
     let counts = shares.counts();
@@ -71,6 +75,7 @@
     out
 }
 
+/// The metrics of each service's gate.
 fn gate_metrics(table: &Table, now: Time) -> String {
     let mut out = String::new();
     for gate in table.gates() {
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -1,4 +1,4 @@
-//! Stopping in order: what a process still does after SIGTERM, within its grace.
+//! Orderly shutdown: what a process still does after SIGTERM, within its grace period.
 #![deny(missing_docs)]
 
 use super::input::NodeHandle;
@@ -11,33 +11,33 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Orders that were let in just before the stop get this long to show as open.
+/// How long requests that were accepted just before the stop have to be counted as open.
 const LATE_REQUESTS_WAIT: Duration = Duration::from_millis(400);
-/// How often it looks whether all has ended.
+/// How often it is checked whether all work has ended.
 const POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// What stops, and how long it may take.
+/// A shutdown: its time limits, and the parts of the process that take part in it.
 pub struct Shutdown {
-    /// What the process is; a controller leaves the chain before it ends.
+    /// The role of the process; a controller leaves the chain before it ends.
     pub role: Role,
-    /// How long open streams and a controller's leaving may take in all.
+    /// The time limit for open streams and a controller's departure together, from SIGTERM on.
     pub drain: Span,
-    /// How long a router serves on while callers find another.
+    /// How long a router continues to accept requests while clients find another router.
     pub lame: Duration,
-    /// The side that callers see.
+    /// The service that answers clients.
     pub front: Arc<RequestService>,
-    /// The gates that requests wait at.
+    /// The gates in which requests wait.
     pub table: Arc<Table>,
-    /// The clock that the limits are told by.
+    /// The clock of the limits.
     pub clock: Arc<dyn Clock>,
-    /// The way to the node.
+    /// The node of this process.
     pub node: NodeHandle,
-    /// How far a controller's leaving has got.
+    /// The progress of a controller's departure from the chain.
     pub departure: Arc<Mutex<Departure>>,
 }
 
 impl Shutdown {
-    /// Returns when the process may end.
+    /// Runs the shutdown; returns when the process may end.
     pub async fn run(&self) {
         log::info!(event = "warned", drain_ms = self.drain.as_ms(); "");
         self.front.is_leaving.store(true, Ordering::SeqCst);
@@ -59,12 +59,12 @@
         log::info!(event = "stopped", broken_streams = left, undelivered_answers = undelivered; "");
     }
 
-    /// Whether a request is under way, or an answer that its client has not wholly acknowledged.
+    /// Whether a request is open or a client has not acknowledged all of its answer.
     fn has_open_work(&self) -> bool {
         self.front.open_requests.load(Ordering::SeqCst) > 0 || self.front.clients.count_serving() > 0
     }
 
-    /// Waits until this controller has left the chain, at most until `due`, and logs what stands elsewhere.
+    /// Waits until this controller has left the chain, at most until `deadline`, and logs what other nodes hold.
     async fn wait_until_left(&self, deadline: Time) {
         let state = || *self.departure.lock().unwrap();
         while !state().is_done && self.clock.now() < deadline {
--- a/src/daemon/traffic.rs
+++ b/src/daemon/traffic.rs
@@ -1,11 +1,11 @@
-//! Messages and bytes by kind, as a node sends and gets them.
+//! Counts the messages and bytes that a node sends and receives, by kind of message.
 #![deny(missing_docs)]
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Mutex;
 
-/// How many kinds are shown.
+/// How many kinds are listed.
 const SHOWN: usize = 10;
 
 #[derive(Clone, Copy, Default)]
@@ -16,7 +16,7 @@
 
 type Counts = BTreeMap<&'static str, Count>;
 
-/// What a node has sent and got since it was asked last.
+/// What a node has sent and received since the last [`Traffic::take`].
 #[derive(Default)]
 pub struct Traffic {
     sent: Mutex<Counts>,
@@ -24,17 +24,18 @@
 }
 
 impl Traffic {
-    /// A message of `bytes` was sent.
+    /// Counts a sent message of `bytes`.
     pub fn sent(&self, kind: &'static str, bytes: usize) {
         add(&self.sent, kind, bytes);
     }
 
-    /// A message of `bytes` came in.
+    /// Counts a received message of `bytes`.
     pub fn got(&self, kind: &'static str, bytes: usize) {
         add(&self.got, kind, bytes);
     }
 
-    /// What was sent and got since the last call, as `kind=messages/bytes`, the most bytes first.
+    /// What was sent and received since the last call, as `kind=messages/bytes`, the most bytes first; at most `SHOWN`
+    /// kinds each.
     pub fn take(&self) -> (String, String) {
         (take(&self.sent), take(&self.got))
     }
--- a/src/http/admin.rs
+++ b/src/http/admin.rs
@@ -1,3 +1,6 @@
+//! The admin API: calls by which operators read the state of the fleet and change its configuration. Every node answers
+//! it; the paths are listed in `docs/interface.md`.
+
 use super::answer::{AnswerBody, coded_answer, full_body, operator_answer};
 use crate::daemon::input::NodeHandle;
 use crate::fleet::runner::Runner;
@@ -12,15 +15,22 @@
 use hyper::{Method, Request, Response, StatusCode};
 use std::sync::Arc;
 
+/// The largest body of a call.
 const BODY_MAX_BYTES: usize = 8 << 20;
 
+/// The admin API of a node.
 pub struct AdminApi {
+    /// The node that answers.
     pub node: NodeHandle,
+    /// Whether the node is ready, or why not.
     pub ready: Box<dyn Fn() -> Result<(), String> + Send + Sync>,
+    /// The metrics in the Prometheus text format.
     pub metrics: Box<dyn Fn() -> String + Send + Sync>,
+    /// The operators' own protocol, if the settings name one; its paths come before the native ones.
     pub operator: Option<Arc<dyn OperatorProtocol>>,
 }
 
+/// One call of an operator.
 struct AdminCall {
     method: String,
     path: String,
@@ -29,7 +39,7 @@
 }
 
 impl AdminCall {
-    /// The digest of all that the call asks for.
+    /// The digest of the whole call: method, path, base version and body.
     fn digest(&self) -> DocumentDigest {
         let stated: &[u8] = if self.base.is_some() { b"on" } else { b"any" };
         let base = self.base.as_deref().unwrap_or("").as_bytes();
@@ -43,8 +53,8 @@
     }
 }
 
-/// The value of `If-Match`. Several headers make a list, and bytes that are no text stay unreadable, so that
-/// neither passes for a call that states no base.
+/// The value of `If-Match`. Repeated headers are joined to a list and invalid UTF-8 is replaced, so that neither is
+/// mistaken for a call without a base version.
 fn if_match_value(headers: &HeaderMap) -> Option<String> {
     let values: Vec<String> = headers
         .get_all("if-match")
@@ -54,7 +64,7 @@
     (!values.is_empty()).then(|| values.join(","))
 }
 
-/// The name under which the caller wants the change known; one of our own if it gives none.
+/// The name of the change from `X-Change-Id`, or a random one if the caller gives none; `None` if it is malformed.
 fn change_name(headers: &HeaderMap) -> Option<u128> {
     match headers.get("x-change-id") {
         Some(name) => name.to_str().ok().and_then(ChangeId::parse_name),
@@ -67,6 +77,7 @@
 }
 
 impl AdminApi {
+    /// The answer to `GET /ready`.
     fn ready_answer(&self) -> Response<AnswerBody> {
         match (self.ready)() {
             Ok(()) => coded_answer(200, "ready", "this node is ready", 0, "answered"),
@@ -74,6 +85,7 @@
         }
     }
 
+    /// The answer to a call of the operators' own protocol; `None` if the call is not part of it.
     async fn platform_answer(
         &self,
         side: &dyn OperatorProtocol,
@@ -100,6 +112,7 @@
         Some(response)
     }
 
+    /// Answers one call.
     pub async fn answer(self: Arc<AdminApi>, order: Request<Incoming>) -> Response<AnswerBody> {
         let path = order.uri().path().trim_matches('/').to_string();
         let base = if_match_value(order.headers());
@@ -154,6 +167,7 @@
     }
 }
 
+/// The node event for a call of the native admin API, or the answer to a malformed call.
 fn event_of(
     method: &Method,
     path: &str,
--- a/src/http/answer.rs
+++ b/src/http/answer.rs
@@ -1,3 +1,5 @@
+//! Answers that a node produces itself: refusals and errors for clients, and answers to operators.
+
 use crate::gate::Refusal;
 use crate::json::tree::map;
 use crate::msg::Answer;
@@ -6,15 +8,21 @@
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
 use hyper::Response;
 
+/// The header that says whether the request was executed: `answered`, `refused` or `unknown`.
 pub const OUTCOME_HEADER: &str = "x-spindledock-outcome";
 
+/// Why a body broke off.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
+/// The body of an answer to a client or an operator.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
 
+/// A body that is complete from the start.
 pub fn full_body(raw: impl Into<Bytes>) -> AnswerBody {
     Full::new(raw.into()).map_err(|e| match e {}).boxed_unsync()
 }
 
+/// A JSON answer with `code`, `text` and `outcome`. A `Retry-After` of at least one second is added for the statuses 429
+/// and 503, and where `retry_s` is above 0.
 pub fn coded_answer(
     status: u16,
     code: &str,
@@ -31,11 +39,12 @@
     b.body(full_body(body.to_string())).expect("a valid answer")
 }
 
-/// The answer to a request that took longer than the limits allow; it has reached no runner.
+/// The answer to a request that took longer to arrive than the limits allow; no runner has seen it.
 pub fn timeout_answer() -> Response<AnswerBody> {
     coded_answer(408, "too-slow", "the request did not arrive within its time; send it again", 0, "refused")
 }
 
+/// The answer to a request that the gate refused, with `Retry-After` in the form of the client's protocol.
 pub fn refusal_answer(side: &dyn CallerProtocol, r: &Refusal) -> Response<AnswerBody> {
     let mut out = coded_answer(r.status(), r.code(), r.text(), r.wait.0.div_ceil(1_000_000), "refused");
     if out.headers().contains_key("retry-after")
@@ -46,6 +55,7 @@
     out
 }
 
+/// The node's answer to an operator as an HTTP answer.
 pub fn operator_answer(a: &Answer) -> Response<AnswerBody> {
     let mut b = Response::builder().status(a.status).header("content-type", "application/json");
     if a.retry_s > 0 {
--- a/src/http/attempt.rs
+++ b/src/http/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt to have a request run by one runner: the request as it is sent, and what came of it, step by step.
+//! One attempt to have a request run by one runner: builds the request, sends it, and reports each step to the
+//! forwarding of the request ([`super::forward`]).
 
 use super::connection::SendError;
 use super::exchange::{BodyBroken, Classified, Exchange, RunnerAnswer};
@@ -18,8 +19,10 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
+/// The largest answer that is buffered as a whole before it is passed on.
 const BUFFERED_ANSWER_MAX_BYTES: usize = 64 << 20;
 
+/// Headers that concern one connection only (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -32,7 +35,7 @@
     "upgrade",
 ];
 
-/// The headers that are meant for the far end, without those of one connection.
+/// A copy of the end-to-end headers: without the hop-by-hop ones and those that `Connection` names.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all("connection")
@@ -51,24 +54,30 @@
     out
 }
 
-/// A caller's request as it is handed on.
+/// A client's request as every attempt forwards it.
 pub struct ForwardedRequest {
+    /// The method, unchanged.
     pub method: Method,
+    /// Path and query, unchanged.
     pub uri: Uri,
+    /// The end-to-end headers.
     pub headers: HeaderMap,
+    /// The whole body.
     pub body: Bytes,
 }
 
 /// The head of a runner's answer: the attempt, its status and headers.
 pub type AttemptHead = (AttemptNo, u16, HeaderMap);
 
-/// What an attempt tells the forwarding that made it.
+/// What an attempt reports to the forwarding that started it.
 pub enum AttemptEvent {
+    /// An input for the forwarding's state machine.
     Step(In),
+    /// The head of the answer, sent before the matching `In::Head`.
     Head(AttemptHead),
 }
 
-/// The request as this attempt's runner gets it.
+/// The request as this attempt's runner receives it, with the remaining time as its deadline.
 pub fn outgoing_request(job: &Attempt) -> Request<Full<Bytes>> {
     let (request, runner) = (&job.request, &job.runner);
     let mut outgoing = Request::new(Full::new(request.body.clone()));
@@ -87,23 +96,34 @@
     outgoing
 }
 
-/// All that one attempt needs.
+/// Everything one attempt needs.
 pub struct Attempt {
+    /// The number of the attempt within its request.
     pub number: AttemptNo,
+    /// The runner to send to.
     pub runner: Runner,
+    /// The id of the last event that the client has, if a stream is to be resumed after it.
     pub last_event_id: Option<String>,
+    /// The parameters of the request.
     pub order: Order,
+    /// The protocol that the runner speaks.
     pub side: Arc<dyn RunnerProtocol>,
+    /// The clock that deadlines are read from.
     pub clock: Arc<dyn Clock>,
+    /// The client's request.
     pub request: Arc<ForwardedRequest>,
+    /// The connections to runners.
     pub pool: Arc<Pool>,
+    /// Whether the request may still be sent; asked right before its first byte is written.
     pub check: Check,
+    /// Why the check refuses the request, evaluated anew.
     pub refusal_cause: Box<dyn Fn() -> Option<Why> + Send + Sync>,
+    /// Where the steps are reported.
     pub events: mpsc::Sender<AttemptEvent>,
 }
 
-/// Sends the request, its deadline counted from the moment it is sent. A connection that turns out to be gone
-/// before a byte was written is replaced by a new one.
+/// Sends the request; its deadline is computed at the moment of sending. If a reused connection turns out to be closed
+/// before a byte was written, another connection is tried.
 async fn send(job: &Attempt) -> Result<(Exchange, HeaderMap), SendError> {
     loop {
         let connection = job.pool.connect(job.runner.addr).await?;
@@ -117,7 +137,7 @@
     }
 }
 
-/// One try at one runner, told step by step to the forwarding that asked for it.
+/// Runs one attempt to its end and reports each step to the forwarding that started it.
 pub async fn run(job: Attempt) {
     let attempt = job.number;
     let report = |ev: In| job.events.send(AttemptEvent::Step(ev));
@@ -143,13 +163,14 @@
     }
 }
 
+/// Reports that the runner did not execute the request; `gone` if a different instance answered at its address.
 async fn report_refusal(job: &Attempt, answer: RunnerAnswer, gone: bool) {
     job.pool.drain(job.runner.addr, answer).await;
     let _ = job.events.send(AttemptEvent::Step(In::Shed { attempt: job.number, gone })).await;
 }
 
-/// Hands the runner's answer on. One to a request that may run again is read as a whole first, so that another
-/// runner can still give it.
+/// Passes the runner's answer on. The answer to an idempotent request is buffered first, unless it is an event stream,
+/// so that another runner can still answer if this one fails half way.
 async fn relay_answer(job: &Attempt, mut answer: RunnerAnswer) {
     let attempt = job.number;
     let report = |ev: In| job.events.send(AttemptEvent::Step(ev));
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -1,7 +1,7 @@
-//! The body of an answer on its way from the forwarding of its request to the client's connection.
+//! The channel that carries the body of an answer from the forwarding of a request to the client's connection.
 //!
-//! A body is complete only by the forwarding's own word, [`BodyWriter::finish`]. A writer that is dropped without it,
-//! by a panic, at the end of a time or by an early return, breaks the answer off, so that the client can tell.
+//! A body is complete only after an explicit [`BodyWriter::finish`]. Dropping the writer without it, on a panic, a
+//! timeout or an early return, breaks the answer off in a way that the client can detect.
 #![deny(missing_docs)]
 
 use super::answer::BodyError;
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// The most pieces that wait for the client's connection.
+/// The most pieces that may be queued for the client's connection.
 const PIECES_MAX: usize = 32;
 
 enum Piece {
@@ -19,24 +19,24 @@
     End,
 }
 
-/// The forwarding's end of a body.
+/// The writing end of a body, held by the forwarding.
 pub struct BodyWriter {
     pieces: mpsc::Sender<Piece>,
-    /// Room for the last piece, kept from the start: a full channel can't keep the end from being said.
+    /// A slot reserved from the start, so that the end can be marked even when the channel is full.
     end: mpsc::OwnedPermit<Piece>,
 }
 
-/// The connection's end of a body.
+/// The reading end of a body, held by the client's connection.
 pub struct StreamedBody {
     pieces: mpsc::Receiver<Piece>,
     ended: bool,
 }
 
-/// The client's connection takes no more.
+/// The reading end is gone: the client's connection accepts no more bytes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ReaderGone;
 
-/// Both ends of a body.
+/// Creates a body and returns its two ends.
 pub fn streamed() -> (BodyWriter, StreamedBody) {
     let (pieces, received) = mpsc::channel(PIECES_MAX + 1);
     let end = pieces.clone().try_reserve_owned().unwrap_or_else(|_| unreachable!("a new channel has room"));
@@ -44,17 +44,17 @@
 }
 
 impl BodyWriter {
-    /// Passes bytes on, as soon as there is room for them.
+    /// Queues bytes, waiting until there is room. Fails once the reading end is gone.
     pub async fn send(&self, bytes: Bytes) -> Result<(), ReaderGone> {
         self.pieces.send(Piece::Data(bytes)).await.map_err(|_| ReaderGone)
     }
 
-    /// Says that the body is complete.
+    /// Marks the body as complete.
     pub fn finish(self) {
         self.end.send(Piece::End);
     }
 
-    /// Returns when the client's connection takes no more.
+    /// Returns once the reading end is gone.
     pub async fn closed(&self) {
         self.pieces.closed().await;
     }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,6 +1,6 @@
-//! Connections from clients and the limits on them: how long a head may take once its first byte came, and how
-//! long a connection may rest between requests. A connection over its limit reads as ended, so that a request
-//! already under way on it is never cut.
+//! The state of client connections and the limits on them: how long a request head may take after its first byte, and
+//! how long a connection may stay idle between requests. A connection over a limit reads as end of file, so that a
+//! request already in progress on it is never cut.
 
 use super::guard::unacknowledged_bytes;
 use crate::fleet::config::Limits;
@@ -10,21 +10,21 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::task::{Context, Waker};
 
-/// The least buffer that the library allows for a head.
+/// The smallest read buffer that hyper accepts.
 const HEAD_BUFFER_MIN: usize = 8192;
-/// Room in the buffer beyond the longest head, so that the exact limit is judged on the parsed head.
+/// Buffer space beyond the longest head, so that the exact limit is checked on the parsed head.
 const HEAD_BUFFER_SLACK: usize = 4096;
 
 /// What a client's connection is doing.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
-    /// Between requests, allowed to rest for `limit`.
+    /// Between requests; may stay idle for `limit`.
     Idle { since: Time, limit: Span },
-    /// A head has begun to come.
+    /// Part of a request head has arrived.
     ReadingHead { since: Time },
-    /// A request is under way.
+    /// A request is being served.
     Serving,
-    /// The answer is whole here; part of it is not yet written to the socket.
+    /// The answer is complete; part of it is not yet written to the socket.
     Flushing,
     /// Over a limit: nothing more is read.
     Expired,
@@ -35,7 +35,7 @@
     reader: Option<Waker>,
 }
 
-/// One client's connection.
+/// The connection of one client.
 pub struct ClientConnection {
     state: Mutex<State>,
     connections: Arc<ClientConnections>,
@@ -45,23 +45,23 @@
     is_broken: AtomicBool,
 }
 
-/// All connections of clients, and the limits in force.
+/// All client connections and the limits in force.
 pub struct ClientConnections {
     clock: Arc<dyn Clock>,
     limits: Mutex<Limits>,
     open: Mutex<Vec<Weak<ClientConnection>>>,
-    /// The process is about to end: a connection closes once its client has all of its answer.
+    /// The process is shutting down: a connection closes only once its client has all of its answer.
     stopping: AtomicBool,
 }
 
 impl ClientConnections {
-    /// No connections yet, and the limits that hold until a configuration is known.
+    /// Creates an empty set with the default limits, which hold until a configuration is known.
     pub fn new(clock: Arc<dyn Clock>) -> Arc<ClientConnections> {
         let (limits, open) = (Mutex::new(Limits::default()), Mutex::default());
         Arc::new(ClientConnections { clock, limits, open, stopping: AtomicBool::new(false) })
     }
 
-    /// From now on connections close only once their clients have all of their answers.
+    /// Starts the shutdown: from now on a connection closes only once its client has all of its answer.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
@@ -71,12 +71,12 @@
         self.limits.lock().unwrap().clone()
     }
 
-    /// How many connections have a request under way, or an answer that its client has not wholly acknowledged.
+    /// How many connections are serving a request or have an answer that the client has not fully acknowledged.
     pub fn count_serving(&self) -> usize {
         self.count(|c| matches!(c.phase(), Phase::Serving | Phase::Flushing) || c.unacknowledged_bytes() > 0)
     }
 
-    /// How many connections have sent part of a head that is not yet whole.
+    /// How many connections have sent an incomplete request head.
     pub fn count_reading_head(&self) -> usize {
         self.count(|c| matches!(c.phase(), Phase::ReadingHead { .. }))
     }
@@ -86,7 +86,7 @@
         open.iter().filter_map(Weak::upgrade).filter(|c| holds(c)).count()
     }
 
-    /// Takes in a new connection.
+    /// Registers a new connection.
     pub fn add(self: &Arc<ClientConnections>) -> Arc<ClientConnection> {
         let limits = self.limits();
         let phase = Phase::Idle { since: self.clock.now(), limit: Span::ms(limits.idle_ms) };
@@ -107,7 +107,7 @@
         connection
     }
 
-    /// Takes over the limits in force and ends the connections that are over them.
+    /// Sets the limits in force and expires the connections that are over them.
     pub fn sweep(&self, limits: Limits) {
         *self.limits.lock().unwrap() = limits.clone();
         let now = self.clock.now();
@@ -121,17 +121,17 @@
 }
 
 impl ClientConnection {
-    /// The buffer for a head on this connection.
+    /// The size of the read buffer for a request head on this connection, in bytes.
     pub fn head_buffer(&self) -> usize {
         (self.head_max_bytes as usize).max(HEAD_BUFFER_MIN) + HEAD_BUFFER_SLACK
     }
 
-    /// Whether heads may by now be longer than this connection was made for.
+    /// Whether the limit on heads has grown beyond this connection's read buffer.
     pub fn is_outgrown(&self) -> bool {
         self.connections.limits.lock().unwrap().head_bytes > self.head_max_bytes
     }
 
-    /// A request has been read; false if the connection is over a limit.
+    /// Records that a request head was read. False if the connection is over a limit and must not serve it.
     pub fn begin_request(&self) -> bool {
         let mut state = self.state.lock().unwrap();
         if state.phase == Phase::Expired {
@@ -141,27 +141,27 @@
         true
     }
 
-    /// The client takes the end of the connection for the end of an answer (HTTP/1.0).
+    /// Records that the client takes the close of the connection as the end of an answer (HTTP/1.0).
     pub fn set_ended_by_close(&self) {
         self.ended_by_close.store(true, Ordering::SeqCst);
     }
 
-    /// The answer under way can't be completed.
+    /// Records that the answer in progress can't be completed.
     pub fn mark_broken_off(&self) {
         self.is_broken.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the client takes the end of the connection for the end of an answer.
+    /// Whether the client takes the close of the connection as the end of an answer.
     pub(super) fn is_ended_by_close(&self) -> bool {
         self.ended_by_close.load(Ordering::SeqCst)
     }
 
-    /// Whether the answer under way can't be completed.
+    /// Whether the answer in progress can't be completed.
     pub(super) fn is_broken_off(&self) -> bool {
         self.is_broken.load(Ordering::SeqCst)
     }
 
-    /// The whole answer was taken over for writing.
+    /// Records that hyper has taken the whole answer for writing.
     pub fn body_taken(&self) {
         let mut state = self.state.lock().unwrap();
         if state.phase != Phase::Expired {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// All that was to be written reached the socket: after an answer, the connection begins to rest.
+    /// Records that all written bytes have reached the socket. After an answer, the connection becomes idle.
     pub(super) fn socket_flushed(&self) {
         let limit = Span::ms(self.connections.limits.lock().unwrap().idle_ms);
         let since = self.connections.clock.now();
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The connection's socket, as long as it is open.
+    /// Sets the connection's socket; `None` once it is closed.
     pub(super) fn set_socket(&self, socket: Option<RawFd>) {
         *self.socket.lock().unwrap() = socket;
     }
@@ -188,19 +188,21 @@
         self.state.lock().unwrap().phase
     }
 
-    /// Whether a close has to wait: what a closed socket has unread would reset what its client has not yet.
+    /// Whether the close has to wait for the client's acknowledgement: if a socket is closed with unread input, the
+    /// kernel resets the connection and the client loses the bytes it has not received yet.
     pub(super) fn must_linger(&self) -> bool {
         self.connections.stopping.load(Ordering::SeqCst)
             && !self.is_broken_off()
             && self.unacknowledged_bytes() > 0
     }
 
-    /// The bytes that were written to the socket and that the client has not acknowledged.
+    /// How many bytes written to the socket the client has not acknowledged.
     fn unacknowledged_bytes(&self) -> u64 {
         let socket = self.socket.lock().unwrap();
         socket.and_then(unacknowledged_bytes).map_or(0, |bytes| bytes.max(0) as u64)
     }
 
+    /// Records that bytes arrived: an idle connection begins to read a head.
     pub(super) fn bytes_received(&self) {
         let mut state = self.state.lock().unwrap();
         if let Phase::Idle { .. } = state.phase {
@@ -211,7 +213,7 @@
     fn expire_if_over(&self, now: Time, limits: &Limits) {
         let mut state = self.state.lock().unwrap();
         let over = match state.phase {
-            // The longer of the limits that held while it rested: a client may know the older one.
+            // The longer of the limits that held while it was idle: the client may know only the older one.
             Phase::Idle { since, limit } => now.since(since) > limit.max(Span::ms(limits.idle_ms)),
             Phase::ReadingHead { since } => now.since(since) > Span::ms(limits.head_ms),
             Phase::Serving | Phase::Flushing | Phase::Expired => false,
@@ -224,7 +226,7 @@
         }
     }
 
-    /// True if nothing more may be read; else `cx` is woken when that changes.
+    /// True if the connection is over a limit and nothing more may be read; otherwise `cx` is woken when that changes.
     pub(super) fn poll_expired(&self, cx: &Context) -> bool {
         let mut state = self.state.lock().unwrap();
         if state.phase == Phase::Expired {
--- a/src/http/client_stream.rs
+++ b/src/http/client_stream.rs
@@ -1,5 +1,5 @@
-//! The socket of a client's connection: reads within the limits of the connection, and closes so that a client can
-//! tell a whole answer from half of one.
+//! The socket of a client connection: reads within the connection's limits, and closes in a way that lets the client
+//! distinguish a complete answer from a truncated one.
 #![deny(missing_docs)]
 
 use super::client::ClientConnection;
@@ -15,35 +15,35 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// The socket of a client's connection.
+/// The socket of a client connection.
 pub struct ClientStream {
     tcp: TcpStream,
     connection: Arc<ClientConnection>,
-    /// Whether a close that was not announced is a reset.
+    /// Whether closing the socket without a prior shutdown sends a reset.
     resets_on_close: bool,
-    /// When it is looked again whether the client has all of its answer.
+    /// The timer until the next check whether the client has all of its answer.
     next_poll: Option<Pin<Box<Sleep>>>,
 }
 
-/// How often it is looked whether a client has all of its answer before its connection closes.
+/// How often a closing connection checks whether its client has all of its answer.
 const ACKNOWLEDGEMENT_POLL_PERIOD: Duration = Duration::from_millis(20);
 
 impl ClientStream {
-    /// Reads and writes `tcp` within the limits of `connection`.
+    /// Wraps `tcp`, subject to the limits of `connection`.
     pub fn new(tcp: TcpStream, connection: Arc<ClientConnection>) -> ClientStream {
         connection.set_socket(Some(tcp.as_raw_fd()));
         ClientStream { tcp, connection, resets_on_close: false, next_poll: None }
     }
 
-    /// A client that takes the end of the connection for the end of its answer sees a reset, unless the answer was
-    /// passed on to its end; so also where the process ends.
+    /// For a client that takes the close of the connection as the end of its answer: makes any close a reset until the
+    /// answer is complete. The kernel also sends the reset if the process ends.
     fn prepare_reset_on_close(&mut self) {
         if !self.resets_on_close && self.connection.is_ended_by_close() {
             self.resets_on_close = reset_on_close(&self.tcp, true).is_ok();
         }
     }
 
-    /// Reads and drops what the client still sends until it has all of its answer or has closed.
+    /// Reads and discards what the client still sends until it has all of its answer or has closed the connection.
     fn poll_linger(&mut self, cx: &mut Context) -> Poll<()> {
         let mut discarded = [0; 1024];
         while self.connection.must_linger() {
@@ -63,6 +63,7 @@
         Poll::Ready(())
     }
 
+    /// Makes the close an ordinary one again, unless the answer was broken off.
     fn cancel_reset_on_close(&mut self) {
         if self.resets_on_close && !self.connection.is_broken_off() {
             self.resets_on_close = reset_on_close(&self.tcp, false).is_err();
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -1,8 +1,8 @@
-//! One connection to a peer, as a chain of states that only a clean exchange leads round:
-//! [`Ready`] sends one request and becomes an [`Exchange`]; an exchange whose answer was judged to belong to its
-//! request becomes an [`Answer`](super::exchange::Answer); an answer that was read to its framed end becomes
-//! [`Resting`]; a resting connection on which nothing was left over becomes [`Ready`] again. Any other end gives the
-//! connection up: nothing of the request reaches the peer later, and no late byte reaches another request.
+//! One connection to a peer, as a cycle of states that only a clean exchange completes:
+//! [`ReadyConnection`] sends one request and becomes an [`Exchange`]; an exchange whose answer belongs to its request
+//! becomes a [`RunnerAnswer`](super::exchange::RunnerAnswer); an answer that was read to its framed end becomes an
+//! [`IdleConnection`]; an idle connection without leftover bytes becomes a [`ReadyConnection`] again. Any other end
+//! drops the connection: nothing of the request reaches the peer later, and no late byte reaches another request.
 
 use super::exchange::Exchange;
 use super::guard::{Check, Guard, GuardedStream};
@@ -18,27 +18,27 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// How long a connection attempt may take.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// A connection whose peer acknowledges nothing for so long is dropped.
+/// A connection is dropped if written bytes stay unacknowledged for this long.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a connection rests whose peer names no time.
+/// How long a connection may stay idle if the peer names no time.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
-/// How much earlier than the peer a resting connection is given up.
+/// How much earlier than the peer an idle connection is given up, so that no request meets the peer's close.
 const KEEP_ALIVE_MARGIN_MS: u64 = 400;
 
-/// Why a request has no answer.
+/// Why a request got no answer.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SendError {
     /// No byte of the request left this process.
     NotSent,
     /// The check refused the request before its first byte.
     RefusedByCheck,
-    /// A byte may have left: the request may run.
+    /// A byte may have left this process: the request may have been executed.
     MaybeSent,
 }
 
-/// The parts that every state owns. Dropping them ends the connection.
+/// What every state of a connection owns. Dropping it ends the connection.
 pub(super) struct Transport {
     sender: http1::SendRequest<Full<Bytes>>,
     guard: Arc<Guard>,
@@ -48,7 +48,7 @@
 }
 
 impl Transport {
-    /// The connection at rest after an answer with these headers, if the peer keeps it.
+    /// The idle connection after an answer with these headers; `None` if the peer closes it.
     pub(super) fn into_idle(self, headers: &HeaderMap) -> Option<IdleConnection> {
         let keep_alive = keep_alive_time(headers);
         if keep_alive == Duration::ZERO || self.sender.is_closed() {
@@ -67,13 +67,13 @@
     }
 }
 
-/// A connection on which nothing is under way.
+/// A connection that can send a request.
 pub struct ReadyConnection {
     transport: Transport,
 }
 
 impl ReadyConnection {
-    /// Connects to `addr`.
+    /// Connects to `addr`; `None` if that fails or takes too long.
     pub async fn connect(addr: SocketAddr) -> Option<ReadyConnection> {
         ReadyConnection::over(
             tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await.ok()?.ok()?,
@@ -81,7 +81,7 @@
         .await
     }
 
-    /// A connection over a socket that is connected already.
+    /// A connection over a connected socket; `None` if the HTTP handshake fails.
     pub async fn over(tcp: TcpStream) -> Option<ReadyConnection> {
         let _ = tcp.set_nodelay(true);
         crate::daemon::links::limit_unacknowledged_time(&tcp, UNACKNOWLEDGED_TIMEOUT);
@@ -96,12 +96,13 @@
         Some(ReadyConnection { transport: Transport { sender, guard, task, is_used: false, is_clean: true } })
     }
 
-    /// Whether an earlier request went over this connection.
+    /// Whether an earlier request was sent on this connection.
     pub fn is_used(&self) -> bool {
         self.transport.is_used
     }
 
-    /// Sends the request, unless `check` refuses as its first byte is about to be written.
+    /// Sends the request, unless `check` refuses it right before the first byte is written; returns once the head of an
+    /// answer has arrived.
     pub async fn send(mut self, request: Request<Full<Bytes>>, check: Check) -> Result<Exchange, SendError> {
         self.transport.is_clean = false;
         self.transport.is_used = true;
@@ -115,20 +116,21 @@
     }
 }
 
-/// A connection whose last answer was read to its end; what else came or is still to be sent is not yet known.
+/// A connection whose last answer was read to its end. Whether the last request was fully written and whether further
+/// bytes arrived is only checked by [`IdleConnection::into_ready`].
 pub struct IdleConnection {
     transport: Transport,
     expires_at: Instant,
 }
 
 impl IdleConnection {
-    /// Whether the peer may close the connection at any moment now.
+    /// Whether the peer has closed the connection or may do so at any moment.
     pub fn is_expired(&self, now: Instant) -> bool {
         now >= self.expires_at || self.transport.sender.is_closed()
     }
 
-    /// The connection, if the whole of the last request was written, the peer keeps it open, and not a byte came
-    /// after the last answer.
+    /// The connection for a new request, if the last request was fully written, the peer keeps the connection open, and
+    /// no byte arrived after the last answer.
     pub fn into_ready(mut self, now: Instant) -> Option<ReadyConnection> {
         let transport = &self.transport;
         let written = transport.sender.is_ready() && transport.guard.is_flushed();
@@ -139,13 +141,13 @@
         Some(ReadyConnection { transport: self.transport })
     }
 
-    /// Ends a connection that is not needed any more.
+    /// Closes a connection that is not needed any more.
     pub fn close(mut self) {
         self.transport.is_clean = self.transport.sender.is_ready() && self.transport.guard.is_flushed();
     }
 }
 
-/// How long a connection may rest, by the words of the answer; zero if the peer closes it.
+/// How long a connection may stay idle by the headers of its last answer; zero if the peer closes it.
 fn keep_alive_time(headers: &HeaderMap) -> Duration {
     let closes = headers
         .get_all("connection")
--- a/src/http/exchange.rs
+++ b/src/http/exchange.rs
@@ -1,4 +1,4 @@
-//! A request under way on a connection, and its answer once that was judged to belong to it.
+//! A request in flight on a connection, and its answer once that was found to belong to the request.
 
 use super::connection::{IdleConnection, Transport};
 use crate::forwarding::AnswerEnd;
@@ -9,25 +9,25 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
 
-/// The body of an answer ended before its framing said so, or is too long.
+/// The body of an answer ended before its framed end, or is longer than the caller accepts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct BodyBroken;
 
-/// A request that was sent and whose answer has a head, not yet known to belong to it.
+/// A request that was sent and an answer head that is not yet known to belong to it.
 pub struct Exchange {
     transport: Transport,
     response: Response<Incoming>,
 }
 
-/// An answer as its head was judged.
+/// An answer, classified by its head.
 pub enum Classified {
     /// The runner's own answer to this request.
     Own(RunnerAnswer),
-    /// The runner's word that it did not run the request.
+    /// The runner states that it did not execute the request.
     NotExecuted(RunnerAnswer),
-    /// The word that another runner, or none of this kind, is there; it did not run the request.
+    /// A different instance is at this address; it did not execute the request.
     Misdirected(RunnerAnswer),
-    /// No answer to this request; the connection is gone.
+    /// Not an answer to this request; the connection is given up.
     Stray,
 }
 
@@ -46,7 +46,7 @@
         self.response.headers()
     }
 
-    /// Keeps the answer only if `judge` finds that it belongs to the request. An interim status never does.
+    /// Keeps the answer only if `judge` finds that it belongs to the request. An answer with a 1xx status never does.
     pub fn judge(self, judge: impl FnOnce(u16, &HeaderMap) -> ResponseOrigin) -> Classified {
         if self.response.status().is_informational() {
             return Classified::Stray;
@@ -64,7 +64,7 @@
     }
 }
 
-/// How the end of an answer is said that has not been read yet. One that can have no body is known to the library.
+/// How the end of an unread answer is marked. hyper itself reports the end of one that can have no body.
 fn end_marking(response: &Response<Incoming>) -> AnswerEnd {
     let headers = response.headers();
     let framed = headers.contains_key(TRANSFER_ENCODING) || headers.contains_key(CONTENT_LENGTH);
@@ -93,12 +93,12 @@
         self.response.headers()
     }
 
-    /// How the end of the body is said.
+    /// How the end of the body is marked: by its framing or by the close of the connection.
     pub fn end(&self) -> AnswerEnd {
         self.end
     }
 
-    /// The next bytes of the body; none after its framed end.
+    /// The next bytes of the body; `None` after its end.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BodyBroken> {
         loop {
             match self.response.body_mut().frame().await {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The whole body, if it has no more than `limit` bytes.
+    /// The whole body. Fails if it breaks off or has more than `limit` bytes.
     pub async fn collect(&mut self, limit: usize) -> Result<Bytes, BodyBroken> {
         if self.response.body().size_hint().lower() > limit as u64 {
             return Err(BodyBroken);
@@ -135,7 +135,7 @@
         Ok(all.freeze())
     }
 
-    /// The connection at rest, if the answer was read to its end and the peer keeps the connection.
+    /// The connection for reuse, if the answer was read to its end and the peer keeps the connection open.
     pub fn into_idle_connection(self) -> Option<IdleConnection> {
         if !self.is_read_to_end {
             return None;
--- a/src/http/forward.rs
+++ b/src/http/forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding one request: carries out what the forwarding's state machine decides.
+//! Forwards one request: feeds the state machine in [`crate::forwarding`] with events and carries out its decisions.
 
 use super::answer::{AnswerBody, coded_answer, refusal_answer};
 use super::attempt::{self, Attempt, AttemptEvent, ForwardedRequest};
@@ -19,19 +19,30 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 
+/// How often the state machine is given the time.
 const TICK_PERIOD: Duration = Duration::from_millis(50);
+/// How long a client may take none of its answer before it counts as gone.
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The work on one request.
+/// One request being forwarded. Dropping it cancels the request.
 pub struct Forwarder {
+    /// The gate of the request's service.
     pub gate: Arc<Mutex<Gate>>,
+    /// The connections to runners.
     pub pool: Arc<Pool>,
+    /// The clock that deadlines are read from.
     pub clock: Arc<dyn Clock>,
+    /// The request as each attempt sends it.
     pub forwarded: Arc<ForwardedRequest>,
+    /// The protocol of the runners.
     pub side: Arc<dyn RunnerProtocol>,
+    /// The protocol of the client.
     pub caller: Arc<dyn CallerProtocol>,
+    /// The state machine.
     request: RequestFlow,
+    /// The running attempts.
     attempts: BTreeMap<AttemptNo, JoinHandle<()>>,
+    /// Status and headers of answers that the state machine has not chosen yet.
     headers: BTreeMap<AttemptNo, (u16, HeaderMap)>,
     event_tx: mpsc::Sender<AttemptEvent>,
     wake_tx: mpsc::UnboundedSender<Plan>,
@@ -39,22 +50,26 @@
     body: Option<BodyWriter>,
 }
 
-/// What became of one effect.
+/// The result of carrying out one effect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum EffectOutcome {
     Done,
-    /// The client takes no more, or not in time; no effect that was to follow may be carried out.
+    /// The client accepts no more bytes, or not in time; the remaining effects must not be carried out.
     ClientGone,
 }
 
 /// A request to be forwarded.
 pub struct ForwardJob {
+    /// The parameters of the request.
     pub order: Order,
+    /// The request as each attempt sends it.
     pub forwarded: Arc<ForwardedRequest>,
+    /// The protocols of the client and of the runners.
     pub protocols: Protocols,
 }
 
-/// Forwards a request until its answer is whole, broken off or nobody waits for it any more.
+/// Forwards a request until its answer is complete or broken off, or the client is gone. The head of the answer, or a
+/// refusal, goes to `response_tx`.
 pub async fn forward(
     gate: Arc<Mutex<Gate>>,
     pool: Arc<Pool>,
@@ -103,6 +118,7 @@
     }
 }
 
+/// Returns once the client waits neither for the head nor for the body of its answer any more.
 async fn client_gone(
     response_tx: &mut Option<oneshot::Sender<Response<AnswerBody>>>,
     body: &Option<BodyWriter>,
@@ -115,6 +131,7 @@
 }
 
 impl Forwarder {
+    /// Feeds the state machine with one event and carries out the effects in order.
     async fn step(&mut self, event: In) {
         let now = self.clock.now();
         let effects = self.request.step(now, event, &mut self.gate.lock().unwrap());
@@ -189,12 +206,14 @@
         self.attempts.insert(number, tokio::spawn(attempt::run(job)));
     }
 
+    /// Sends the head of the answer, once.
     fn answer(&mut self, response: Response<AnswerBody>) {
         if let Some(response_tx) = self.response_tx.take() {
             let _ = response_tx.send(response);
         }
     }
 
+    /// Sends the head of the attempt that the state machine has chosen and opens the body.
     fn head(&mut self, attempt: AttemptNo) {
         let Some((status, headers)) = self.headers.remove(&attempt) else { return };
         let (writer, body) = streamed();
@@ -208,6 +227,7 @@
         self.answer(response);
     }
 
+    /// Passes bytes of the body on, within `CLIENT_STALL_TIMEOUT` and the deadline of the whole answer.
     async fn pass(&mut self, bytes: Bytes) -> EffectOutcome {
         let Some(body) = &self.body else { return EffectOutcome::Done };
         let left = self
@@ -221,7 +241,8 @@
         }
     }
 
-    /// The client takes no more, or not in time: its answer is broken off and nothing of its request goes on.
+    /// Ends the request of a client that accepts no more bytes, or not in time: breaks the answer off and stops all
+    /// attempts.
     fn abandon(&mut self) {
         self.body = None;
         let now = self.clock.now();
@@ -233,7 +254,7 @@
 }
 
 impl Drop for Forwarder {
-    /// A forwarding that ends before its request does leaves no waiter, slot or run behind.
+    /// Releases what an unfinished request holds: its place in the gate's queue, its slots and its attempts.
     fn drop(&mut self) {
         if !self.request.over
             && let Ok(mut gate) = self.gate.lock()
--- a/src/http/guard.rs
+++ b/src/http/guard.rs
@@ -1,5 +1,5 @@
-//! The socket under a connection to a runner: refuses the first byte of a request that may no longer be sent,
-//! and knows what has been written, what has been flushed and whether the peer has said anything since.
+//! The socket under a connection to a runner. It refuses the first byte of a request that may no longer be sent, and
+//! tracks whether bytes were written and flushed and whether the peer has sent any since.
 
 use super::linger::reset_on_close;
 use std::io;
@@ -11,10 +11,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a request may still be sent; asked as its first byte is about to be written.
+/// Whether a request may still be sent; evaluated right before its first byte is written.
 pub type Check = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// What is known of the bytes of one connection, shared between the connection and its socket.
+/// The write state of one connection, shared between the connection and its socket.
 #[derive(Default)]
 pub struct Guard {
     check: Mutex<Option<Check>>,
@@ -25,29 +25,29 @@
 }
 
 impl Guard {
-    /// Prepares for the next request: `check` decides when its first byte is about to be written.
+    /// Resets the state for the next request; `check` is evaluated right before its first byte is written.
     pub fn arm(&self, check: Check) {
         self.has_written.store(false, Ordering::SeqCst);
         self.refused.store(false, Ordering::SeqCst);
         *self.check.lock().unwrap() = Some(check);
     }
 
-    /// Whether any byte went out since the guard was armed.
+    /// Whether a byte was written since the guard was armed.
     pub fn has_written(&self) -> bool {
         self.has_written.load(Ordering::SeqCst)
     }
 
-    /// Whether the check refused the request, so that none of its bytes went out.
+    /// Whether the check refused the request, so that none of its bytes was written.
     pub fn refused(&self) -> bool {
         self.refused.load(Ordering::SeqCst)
     }
 
-    /// Whether all bytes that were given to the connection have reached the socket.
+    /// Whether all bytes written to the connection have reached the socket.
     pub fn is_flushed(&self) -> bool {
         !self.has_unflushed.load(Ordering::SeqCst)
     }
 
-    /// Whether the peer has neither closed the connection nor sent a byte that nobody has read.
+    /// Whether the peer has neither closed the connection nor sent a byte that is still unread.
     pub fn has_no_pending_input(&self) -> bool {
         let socket = self.socket.lock().unwrap();
         let Some(fd) = *socket else { return false };
@@ -57,9 +57,9 @@
         got < 0 && io::Error::last_os_error().kind() == io::ErrorKind::WouldBlock
     }
 
-    /// Prepares the socket for the end of a request that nobody waits for any more. If the peer has not yet
-    /// acknowledged all of it, the close becomes a reset: what waits in the kernel is dropped, not sent later.
-    /// Else it stays an ordinary close, which is repeated until the peer has heard it.
+    /// Prepares the socket for the end of a request that is abandoned. If the peer has not yet acknowledged all of it,
+    /// the close becomes a reset, so that bytes in the kernel's send buffer are dropped instead of sent later. Otherwise
+    /// it stays an ordinary close, which the kernel retransmits until the peer has received it.
     pub fn reset_if_unacknowledged(&self) {
         let socket = self.socket.lock().unwrap();
         let Some(fd) = *socket else { return };
@@ -83,14 +83,14 @@
     }
 }
 
-/// The bytes that were written to a socket and that its peer has not acknowledged.
+/// How many bytes written to a socket its peer has not acknowledged; `None` if the kernel does not tell.
 pub(super) fn unacknowledged_bytes(fd: RawFd) -> Option<libc::c_int> {
     let mut bytes: libc::c_int = 0;
     let done = unsafe { libc::ioctl(fd, libc::TIOCOUTQ, &raw mut bytes) };
     (done == 0).then_some(bytes)
 }
 
-/// A socket whose writes pass through a [`Guard`].
+/// A socket whose writes are checked by a [`Guard`].
 pub struct GuardedStream {
     tcp: TcpStream,
     guard: Arc<Guard>,
--- a/src/http/linger.rs
+++ b/src/http/linger.rs
@@ -1,11 +1,11 @@
-//! What becomes of a connection when its socket is closed.
+//! What the kernel does with a connection when its socket is closed.
 #![deny(missing_docs)]
 
 use std::io;
 use std::os::fd::AsRawFd;
 
-/// Makes the close of `socket`, by the program or by its end, a reset that drops what was not yet acknowledged; or,
-/// without `on`, an ordinary close again.
+/// If `is_enabled`, makes the close of `socket`, by the program or at its end, a reset that drops all unacknowledged
+/// bytes; otherwise makes it an ordinary close again. Fails with the error of `setsockopt`.
 pub fn reset_on_close(socket: &impl AsRawFd, is_enabled: bool) -> io::Result<()> {
     let linger = libc::linger { l_onoff: is_enabled.into(), l_linger: 0 };
     let size = std::mem::size_of_val(&linger) as libc::socklen_t;
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,4 +1,8 @@
-//! HTTP/1.1 on both sides: connections from clients and operators, connections to runners, and the way between.
+//! HTTP/1.1 on both sides of a router: connections from clients, connections to runners, and the forwarding between
+//! them; also the admin API that operators call on every node.
+//!
+//! The sockets that accept clients and operators are in [`crate::daemon::listener`]; the state machine of one forwarded
+//! request is in [`crate::forwarding`].
 
 pub mod admin;
 pub mod answer;
--- a/src/http/native.rs
+++ b/src/http/native.rs
@@ -1,3 +1,6 @@
+//! The native protocol of clients and runners, which is in force unless the settings name another one (see
+//! [`crate::seam`]).
+
 use crate::fleet::config::Route;
 use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::tenants::KeyDigest;
@@ -14,12 +17,14 @@
 use hyper::Request;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
-/// The header that holds a tenant's key.
+/// The request header that carries a tenant's API key.
 const KEY_HEADER: &str = "x-spindledock-key";
-/// The header that tells a runner whose request it is.
+/// The header that names the tenant to a runner.
 const TENANT_HEADER: &str = "x-spindledock-tenant";
 
+/// The native protocol of clients: model, adapter and prefix are fields of a JSON body.
 pub struct NativeCaller;
+/// The native protocol of runners.
 pub struct NativeRunner;
 
 impl CallerProtocol for NativeCaller {
@@ -66,6 +71,7 @@
     }
 }
 
+/// A call to runner `r` with a JSON body.
 pub fn runner_call(method: &str, path: &str, r: &Runner, body: String) -> Call {
     Request::builder()
         .method(method)
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! Connections at rest, by the address of their peer.
+//! The pool of idle connections, by the address of their peer.
 
 use super::connection::{IdleConnection, ReadyConnection, SendError};
 use super::exchange::{BodyBroken, Classified, RunnerAnswer};
@@ -13,16 +13,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The most connections kept at rest for one address.
+/// The most idle connections kept for one address.
 const IDLE_PER_ADDRESS_MAX: usize = 64;
-/// The most bytes that are read of an answer nobody wants, to keep its connection.
+/// The most bytes that are read of an unwanted answer in order to reuse its connection.
 const DRAIN_MAX_BYTES: usize = 64 << 10;
-/// The most bytes of an answer that is read as a whole.
+/// The largest answer that is read as a whole.
 const ANSWER_MAX_BYTES: usize = 16 << 20;
-/// How often connections that have rested too long are closed.
+/// How often expired idle connections are closed.
 const PRUNE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Connections at rest.
+/// A pool of idle connections.
 #[derive(Default)]
 pub struct Pool {
     rows: Mutex<IdleConnections>,
@@ -35,7 +35,7 @@
 }
 
 impl IdleConnections {
-    /// Takes out the connections that have rested too long.
+    /// Removes and returns the expired connections, at most once in `PRUNE_PERIOD`.
     fn prune(&mut self, now: Instant) -> Vec<IdleConnection> {
         if self.pruned.is_some_and(|at| now.duration_since(at) < PRUNE_PERIOD) {
             return Vec::new();
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A connection to `addr`: one that rested, or a new one.
+    /// A connection to `addr`: an idle one, or a new one. Fails with `NotSent` if none can be opened.
     pub async fn connect(&self, addr: SocketAddr) -> Result<ReadyConnection, SendError> {
         if let Some(ready) = self.reuse(addr) {
             return Ok(ready);
@@ -68,14 +68,14 @@
         ReadyConnection::connect(addr).await.ok_or(SendError::NotSent)
     }
 
-    /// Keeps the connection of an answer for later, if the answer was read to its end.
+    /// Keeps the connection of an answer for reuse, if the answer was read to its end.
     pub fn keep_connection_of(&self, addr: SocketAddr, answer: RunnerAnswer) {
         if let Some(idle) = answer.into_idle_connection() {
             self.keep_idle(addr, idle);
         }
     }
 
-    /// Keeps a connection at rest for later.
+    /// Keeps an idle connection for reuse, unless there are enough for its address.
     pub fn keep_idle(&self, addr: SocketAddr, idle: IdleConnection) {
         let mut rows = self.rows.lock().unwrap();
         let old = rows.prune(Instant::now());
@@ -87,15 +87,15 @@
         old.into_iter().for_each(IdleConnection::close);
     }
 
-    /// Reads what is left of an answer that nobody wants, so that its connection serves again.
+    /// Reads the rest of an unwanted answer, up to `DRAIN_MAX_BYTES`, so that its connection can be reused.
     pub async fn drain(&self, addr: SocketAddr, mut answer: RunnerAnswer) {
         if answer.collect(DRAIN_MAX_BYTES).await.is_ok() {
             self.keep_connection_of(addr, answer);
         }
     }
 
-    /// Sends a request and reads its answer as a whole, within `limit`. The answer must be one to this request
-    /// by the word of `own`.
+    /// Sends a request and reads its whole answer within `limit`; returns status and body. `is_own` decides by the
+    /// headers whether the answer belongs to this request. Fails with `MaybeSent` if there is no such answer in time.
     pub async fn fetch_matching(
         &self,
         addr: SocketAddr,
@@ -118,7 +118,7 @@
         tokio::time::timeout(limit, work).await.unwrap_or(Err(SendError::MaybeSent))
     }
 
-    /// As [`Pool::ask`], where every answer counts.
+    /// As [`Pool::fetch_matching`], but accepts any answer.
     pub async fn fetch(
         &self,
         addr: SocketAddr,
@@ -130,7 +130,7 @@
     }
 }
 
-/// A check that lets every request pass.
+/// A check that never refuses a request.
 pub fn always_allowed() -> Check {
     Arc::new(|| true)
 }
--- a/src/http/quota.rs
+++ b/src/http/quota.rs
@@ -1,4 +1,5 @@
-//! A request of a tenant with a quota takes a token before it enters its gate.
+//! Tenant quotas at admission: a request of a tenant with a quota takes a token before it enters the gate of its
+//! service.
 #![deny(missing_docs)]
 
 use crate::constraints::shares::QuotaDecision;
@@ -7,10 +8,11 @@
 use crate::kernel::time::Clock;
 use tokio::sync::oneshot;
 
-/// What a client is told to wait whose tenant's quota nobody could count.
+/// The `Retry-After`, in seconds, if no controller could count the tenant's quota.
 const UNANSWERED_RETRY_AFTER_S: u64 = 1;
 
-/// Waits for a token, at most until the request's due. Requests without a tenant or without a quota need none.
+/// Waits for a token, at most until the request's `due`. A request without a tenant or a quota needs none. Fails if the
+/// quota is used up or could not be counted.
 pub async fn take_token(table: &Table, clock: &dyn Clock, order: &Order) -> Result<(), Refusal> {
     let Some(tenant) = order.credential.as_ref().map(|credential| &credential.tenant) else { return Ok(()) };
     if tenant.quota.is_none() {
@@ -25,7 +27,7 @@
     }
 }
 
-/// What a request is told that gets no token.
+/// Turns the decision on a quota into admission or a refusal.
 pub fn admission_result(decision: QuotaDecision) -> Result<(), Refusal> {
     match decision {
         QuotaDecision::Granted => Ok(()),
--- a/src/http/request_service.rs
+++ b/src/http/request_service.rs
@@ -1,3 +1,6 @@
+//! Serves one request of a client: checks the limits, finds the route, admits the tenant, reads the body, takes a quota
+//! token, and forwards the request through the gate of its service ([`super::forward`]).
+
 use super::answer::{AnswerBody, coded_answer, refusal_answer, timeout_answer};
 use super::attempt::{ForwardedRequest, end_to_end};
 use super::client::ClientConnections;
@@ -20,22 +23,34 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use tokio::sync::oneshot;
 
+/// Serves the requests of clients. One per router.
 pub struct RequestService {
+    /// The routes in force and the gates of the services.
     pub table: Arc<Table>,
+    /// The connections to runners.
     pub pool: Arc<Pool>,
+    /// The clock that deadlines are read from.
     pub clock: Arc<dyn Clock>,
+    /// The router is about to stop: each answer closes its connection, so that clients go to another router.
     pub is_leaving: AtomicBool,
+    /// New requests are refused.
     pub is_stopping: AtomicBool,
+    /// The id of the next request.
     pub next_id: AtomicU64,
+    /// How many requests are being received or forwarded; one that is forwarded may count twice.
     pub open_requests: AtomicU64,
+    /// The latest admitted requests.
     pub recent: super::recent_requests::RecentRequests,
+    /// The connections of clients.
     pub clients: Arc<ClientConnections>,
+    /// The protocols of clients and runners.
     pub protocols: Protocols,
 }
 
-/// What a runner that stops at the end of its time has for its last word to arrive.
+/// How long after the deadline the last event of a runner that stops at the deadline may still arrive.
 const FINAL_EVENT_GRACE: Span = Span::ms(100);
 
+/// Decrements the number of open requests when dropped.
 struct OpenRequestCount<'a>(&'a AtomicU64);
 
 impl Drop for OpenRequestCount<'_> {
@@ -44,7 +59,7 @@
     }
 }
 
-/// The bytes of a request's head as it came, but for blanks around values.
+/// The size of a request head as it was received, in bytes, without optional white space around values.
 fn head_bytes(request: &Request<Incoming>) -> u64 {
     const LINE: usize = "  HTTP/1.1\r\n".len();
     const HEADER: usize = ": \r\n".len();
@@ -56,11 +71,12 @@
 }
 
 impl RequestService {
-    /// Takes over the newest limits and ends the connections of clients that are over them.
+    /// Applies the newest limits to the connections of clients and expires those that are over them.
     pub fn sweep(&self) {
         self.clients.sweep(self.table.limits());
     }
 
+    /// Answers one request of a client.
     pub async fn answer(self: Arc<RequestService>, request: Request<Incoming>) -> Response<AnswerBody> {
         let me = self.clone();
         let mut out = self.handle(request).await;
@@ -162,7 +178,7 @@
         }
     }
 
-    /// What a client without a known key is told; nothing of its key is in it.
+    /// The refusal of a request whose key is unknown or missing. It does not contain the key.
     fn unknown_key(&self, row: &RouteRow) -> Response<AnswerBody> {
         if let Some(gate) = self.table.gate(&row.service) {
             gate.lock().unwrap().count("refused_unknown_key");
@@ -170,6 +186,7 @@
         refusal_answer(&*self.protocols.caller, &Refusal::new(Why::UnknownKey, 0))
     }
 
+    /// The parameters of the request from its route, headers and body. Fails with the answer to a malformed request.
     fn build_order(
         &self,
         row: &RouteRow,
--- a/src/http/served_body.rs
+++ b/src/http/served_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on a client's connection.
+//! Ties the body of an answer to its client connection, which is told when the body breaks off or is fully taken.
 
 use super::answer::{AnswerBody, BodyError};
 use super::client::ClientConnection;
@@ -8,14 +8,14 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// The body of an answer; when it was taken over whole, its connection has only to be flushed.
+/// The body of an answer. hyper drops it once it has taken the whole of it; the connection then only has to be flushed.
 pub struct ServedBody {
     body: AnswerBody,
     connection: Arc<ClientConnection>,
 }
 
 impl ServedBody {
-    /// `body` as the answer on `connection`.
+    /// Sends `body` as the answer on `connection`.
     pub fn new(body: AnswerBody, connection: Arc<ClientConnection>) -> ServedBody {
         ServedBody { body, connection }
     }
--- a/src/json/mod.rs
+++ b/src/json/mod.rs
@@ -1,4 +1,4 @@
-//! JSON as the product reads and writes it.
+//! JSON: parsing, trees, exact numbers, and reading a document's fields with faults for its author.
 
 pub mod number;
 pub mod parse;
--- a/src/json/number.rs
+++ b/src/json/number.rs
@@ -1,14 +1,14 @@
-//! Numbers of JSON: a float where that is exactly what was written, the literal otherwise.
+//! JSON numbers: a float if it represents exactly what was written, the literal otherwise.
 
 use super::tree::Tree;
 
-/// Decimal digits that any float keeps.
+/// How many decimal digits any float preserves.
 const SAFE_DIGITS: usize = 15;
-/// Outside these bounds numbers are written with an exponent.
+/// Numbers outside these bounds are written with an exponent.
 const PLAIN_FROM: f64 = 1e-6;
 const PLAIN_BELOW: f64 = 1e16;
 
-/// A well-formed literal as a value that is written back as the same number.
+/// Turns a well-formed literal into a value that is written back as the same number.
 pub fn read(literal: &str) -> Tree {
     let short = literal.len() <= SAFE_DIGITS && !literal.contains(['e', 'E']);
     match literal.parse::<f64>() {
@@ -29,6 +29,7 @@
     }
 }
 
+/// Whether two literals denote the same number.
 fn same_number(one: &str, two: &str) -> bool {
     match (Decimal::read(one), Decimal::read(two)) {
         (Some(one), Some(two)) => one == two,
--- a/src/json/parse.rs
+++ b/src/json/parse.rs
@@ -1,13 +1,16 @@
-//! A strict reader of JSON (RFC 8259) that keeps each number as exactly as it was written.
+//! A strict JSON parser (RFC 8259) that keeps each number exactly as it was written.
 
 use super::tree::Tree;
 
+/// How deep values may be nested, which bounds the parser's recursion.
 const MAX_DEPTH: usize = 32;
 
-/// A document that is no JSON: what is wrong, and in which line.
+/// Why a text is no JSON document.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct JsonError {
+    /// What is wrong.
     pub what: &'static str,
+    /// The line, counted from 1.
     pub line: usize,
 }
 
@@ -24,7 +27,7 @@
     at: usize,
 }
 
-/// Reads one document.
+/// Parses one document. Fails at the first error.
 pub fn parse(text: &str) -> Parsed<Tree> {
     let mut parser = Parser { text, at: 0 };
     let tree = parser.value(0)?;
@@ -44,7 +47,7 @@
         self.text.as_bytes().get(self.at).copied()
     }
 
-    /// The next byte that is no white space.
+    /// The next byte that is not white space.
     fn peek(&mut self) -> Option<u8> {
         while let Some(b' ' | b'\t' | b'\n' | b'\r') = self.byte() {
             self.at += 1;
@@ -52,6 +55,7 @@
         self.byte()
     }
 
+    /// Skips the byte `wanted` if it comes next, and returns whether it did.
     fn take(&mut self, wanted: u8) -> bool {
         let found = self.peek() == Some(wanted);
         self.at += usize::from(found);
@@ -74,6 +78,7 @@
         }
     }
 
+    /// Parses a literal name: `true`, `false` or `null`.
     fn word(&mut self, word: &str, tree: Tree) -> Parsed<Tree> {
         if !self.text.as_bytes()[self.at..].starts_with(word.as_bytes()) {
             return Err(self.error("a value is missing"));
@@ -162,6 +167,7 @@
         })
     }
 
+    /// Parses the digits after `\u`, and the second escape of a surrogate pair.
     fn unicode(&mut self) -> Parsed<char> {
         let first = self.hex()?;
         let code = match first {
@@ -212,6 +218,7 @@
         Ok(super::number::read(&self.text[from..self.at]))
     }
 
+    /// Skips decimal digits and returns how many there were.
     fn digits(&mut self) -> usize {
         let from = self.at;
         while self.byte().is_some_and(|b| b.is_ascii_digit()) {
@@ -220,6 +227,7 @@
         self.at - from
     }
 
+    /// How many characters have been read since `from`, without the sign.
     fn whole_digits(&self, from: usize) -> usize {
         self.text[from..self.at].trim_start_matches('-').len()
     }
--- a/src/json/read.rs
+++ b/src/json/read.rs
@@ -1,17 +1,23 @@
+//! Reads the fields of a JSON object with checks, and collects all faults instead of stopping at the first one.
+
 use super::Tree;
 use crate::kernel::fault::{Fault, Kind};
 
-/// The longest text that a field may hold, in bytes, unless its key says otherwise.
+/// The longest text of a field that is read by [`Reader::line`] or its like, in bytes.
 pub const LONGEST_TEXT: usize = 512;
 
+/// Reads the fields of one object. Each fault is recorded with its place and a remedy, and reading continues with a default.
 pub struct Reader<'a> {
+    /// The place of the object within its document; empty for the document itself.
     pub path: String,
     rows: &'a [(String, Tree)],
     used: Vec<&'a str>,
+    /// The faults found so far.
     pub faults: Vec<Fault>,
 }
 
 impl<'a> Reader<'a> {
+    /// Starts reading `tree` at `path`. It is a fault if it is no object or has a key twice.
     pub fn new(path: &str, tree: &'a Tree) -> Reader<'a> {
         let mut r = Reader { path: path.to_string(), rows: &[], used: vec![], faults: vec![] };
         match tree {
@@ -26,6 +32,7 @@
         r
     }
 
+    /// The place of the field `key`.
     pub fn at(&self, key: &str) -> String {
         match (self.path.is_empty(), key.is_empty()) {
             (_, true) => self.path.clone(),
@@ -34,16 +41,19 @@
         }
     }
 
+    /// Records a fault of the field `key`.
     pub fn fault(&mut self, key: &str, what: &str, remedy: &str) {
         let place = self.at(key);
         self.faults.push(Fault::new(Kind::Config, place, what, remedy));
     }
 
+    /// The value of the field `key`, which counts as known from now on.
     pub fn take(&mut self, key: &'a str) -> Option<&'a Tree> {
         self.used.push(key);
         self.rows.iter().find(|r| r.0 == key).map(|r| &r.1)
     }
 
+    /// A text of any length; required if there is no default.
     pub fn text(&mut self, key: &'a str, dflt: Option<&str>) -> String {
         match (self.take(key), dflt) {
             (Some(Tree::Text(t)), _) => return t.clone(),
@@ -61,7 +71,7 @@
         line
     }
 
-    /// A line that is not empty: what other fields refer to.
+    /// A required line that is not empty, such as a name that other fields refer to.
     pub fn name(&mut self, key: &'a str) -> String {
         let given = matches!(self.rows.iter().find(|r| r.0 == key), Some((_, Tree::Text(_))));
         let name = self.line(key, None);
@@ -71,6 +81,7 @@
         name
     }
 
+    /// Records a fault if a text is too long or has control characters.
     fn check_line(&mut self, key: &str, line: &str) {
         if line.len() > LONGEST_TEXT {
             let remedy = format!("shorten it to {LONGEST_TEXT} bytes");
@@ -85,6 +96,7 @@
         }
     }
 
+    /// A whole number from `low` to `high`; required if there is no default.
     pub fn num(&mut self, key: &'a str, dflt: Option<u64>, low: u64, high: u64) -> u64 {
         let remedy = format!("give a whole number from {low} to {high}");
         match (self.take(key), dflt) {
@@ -98,6 +110,7 @@
         low
     }
 
+    /// A boolean.
     pub fn flag(&mut self, key: &'a str, dflt: bool) -> bool {
         match self.take(key) {
             Some(Tree::Bool(b)) => *b,
@@ -109,6 +122,7 @@
         }
     }
 
+    /// A list; empty if it is absent.
     pub fn list(&mut self, key: &'a str) -> &'a [Tree] {
         match self.take(key) {
             Some(Tree::List(rows)) => rows,
@@ -120,6 +134,7 @@
         }
     }
 
+    /// A list of lines; empty if it is absent.
     pub fn texts(&mut self, key: &'a str) -> Vec<String> {
         let mut out = Vec::new();
         for row in self.list(key) {
@@ -137,6 +152,7 @@
         out
     }
 
+    /// One of the texts `may`.
     pub fn one_of(&mut self, key: &'a str, dflt: &str, may: &[&str]) -> String {
         let got = self.text(key, Some(dflt));
         if !may.contains(&got.as_str()) {
@@ -146,6 +162,7 @@
         got
     }
 
+    /// Ends the reading: fields that were never taken are faults. Returns all faults.
     pub fn done(mut self) -> Vec<Fault> {
         for row in self.rows {
             if !self.used.contains(&row.0.as_str()) {
--- a/src/json/tree.rs
+++ b/src/json/tree.rs
@@ -4,33 +4,41 @@
 use super::parse::parse;
 use std::fmt;
 
-/// Whole numbers up to this are exact, wherever they are read.
+/// The largest whole number up to which every JSON implementation is exact, including those that use floats.
 pub const EXACT_INTEGERS: u64 = 1 << 53;
 
 /// A JSON value; members of an object keep their order.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Tree {
+    /// `null`.
     Null,
+    /// `true` or `false`.
     Bool(bool),
+    /// A number that a float writes back as it was read.
     Num(f64),
     /// A number that no float holds exactly, as it was written.
     Literal(String),
+    /// A string.
     Text(String),
+    /// An array.
     List(Vec<Tree>),
+    /// An object.
     Map(Vec<(String, Tree)>),
 }
 
 impl Tree {
-    /// Reads one JSON document.
+    /// Parses one JSON document. Fails with a text that says what is wrong in which line.
     pub fn parse(text: &str) -> Result<Tree, String> {
         parse(text).map_err(|error| error.to_string())
     }
 
+    /// The member `key` of an object.
     pub fn get(&self, key: &str) -> Option<&Tree> {
         let Tree::Map(rows) = self else { return None };
         rows.iter().find(|r| r.0 == key).map(|r| &r.1)
     }
 
+    /// The member `key`, if it is a string.
     pub fn text(&self, key: &str) -> Option<&str> {
         match self.get(key)? {
             Tree::Text(t) => Some(t),
@@ -38,6 +46,7 @@
         }
     }
 
+    /// The member `key`, if it is a number from 0 on; rounded down, and at most `EXACT_INTEGERS`.
     pub fn num(&self, key: &str) -> Option<u64> {
         match self.get(key)? {
             Tree::Num(n) if *n >= 0.0 => Some((*n as u64).min(EXACT_INTEGERS)),
@@ -48,7 +57,7 @@
         }
     }
 
-    /// A whole number that is exactly what was written.
+    /// The member `key`, if it is a whole number from 0 to `EXACT_INTEGERS`, exactly as written.
     pub fn whole(&self, key: &str) -> Option<u64> {
         match self.get(key)? {
             Tree::Num(n) if *n >= 0.0 && n.fract() == 0.0 && *n <= EXACT_INTEGERS as f64 => Some(*n as u64),
@@ -56,7 +65,7 @@
         }
     }
 
-    /// The nearest finite float.
+    /// The member `key`, if it is a number, as the nearest finite float.
     pub fn float(&self, key: &str) -> Option<f64> {
         match self.get(key)? {
             Tree::Num(n) => Some(*n),
@@ -65,6 +74,7 @@
         }
     }
 
+    /// The member `key`, if it is a boolean.
     pub fn flag(&self, key: &str) -> Option<bool> {
         match self.get(key)? {
             Tree::Bool(b) => Some(*b),
@@ -72,6 +82,7 @@
         }
     }
 
+    /// The items of the member `key`; none if it is no array.
     pub fn list(&self, key: &str) -> &[Tree] {
         match self.get(key) {
             Some(Tree::List(rows)) => rows,
@@ -79,15 +90,19 @@
         }
     }
 
+    /// The strings among the items of the member `key`.
     pub fn texts(&self, key: &str) -> Vec<String> {
         let rows = self.list(key).iter();
         rows.filter_map(|t| if let Tree::Text(t) = t { Some(t.clone()) } else { None }).collect()
     }
 
+    /// The value that identifies an item of a list: its name, prefix or instance.
     fn name_key(&self) -> Option<&Tree> {
         ["name", "prefix", "instance"].iter().find_map(|k| self.get(k))
     }
 
+    /// Applies a patch. Members of objects are merged, and `null` removes one. Lists whose items all have a name are merged
+    /// item by item, by name and host; an item with `drop: true` removes its counterpart. Any other value is replaced.
     pub fn merge(&mut self, patch: Tree) {
         match (self, patch) {
             (Tree::Map(rows), Tree::Map(more)) => {
@@ -149,6 +164,7 @@
     }
 }
 
+/// A text as a JSON string.
 fn quote(text: &str) -> String {
     let mut out = String::with_capacity(text.len() + 2);
     out.push('"');
@@ -197,10 +213,12 @@
     }
 }
 
+/// An object with these members.
 pub fn map(rows: &[(&str, Tree)]) -> Tree {
     Tree::Map(rows.iter().map(|(k, v)| (k.to_string(), v.clone())).collect())
 }
 
+/// An array of the texts of `rows`.
 pub fn names<T: fmt::Display>(rows: &[T]) -> Tree {
     Tree::List(rows.iter().map(|r| Tree::Text(r.to_string())).collect())
 }
--- a/src/platform/caller.rs
+++ b/src/platform/caller.rs
@@ -1,3 +1,5 @@
+//! The protocol of the platform's clients: the parameters of a request are in its headers.
+
 use crate::fleet::config::{Route, RouteKind};
 use crate::fleet::tenants::KeyDigest;
 use crate::gate::order::Size;
@@ -5,17 +7,21 @@
 use crate::protocol::{CallerProtocol, RequestParams, adapter_name};
 use hyper::header::HeaderMap;
 
+/// The least time that a client of a stream waits for the first event.
 const FIRST_EVENT_WAIT_MIN_MS: u64 = 2000;
 
-/// The header that holds a tenant's key and nothing else.
+/// The request header that carries a tenant's API key and nothing else.
 const KEY_HEADER: &str = "api-key";
 
+/// The protocol of the platform's clients.
 pub struct PlatformCaller;
 
+/// The trimmed value of a header; `None` if it is absent or no text.
 fn header_text<'a>(headers: &'a HeaderMap, key: &str) -> Option<&'a str> {
     headers.get(key).and_then(|v| v.to_str().ok()).map(|t| t.trim())
 }
 
+/// The parts of a prompt, `id:tokens` separated by commas with hexadecimal ids; `None` if one is malformed.
 fn prompt_parts(text: &str) -> Option<Vec<(u64, u32)>> {
     let one = |row: &str| {
         let (id, n) = row.trim().split_once(':')?;
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,3 +1,5 @@
+//! Reads the configuration as the platform's users write it.
+
 use super::merge::{REQUIRED_LISTS, merge, parse};
 use super::operator::SettingsFigures;
 use super::tenants;
@@ -9,12 +11,18 @@
 use crate::protocol::adapter_name;
 use std::collections::BTreeSet;
 
+/// The class of a route by its priority, the most urgent first.
 const CLASS_BY_PRIORITY: [Class; 4] = [Class::Counter, Class::Chat, Class::Normal, Class::Bulk];
+/// How long an adapter takes to load; the platform does not say.
 const ADAPTER_LOAD_MS: u64 = 10;
-/// What a load from the runner's own disk takes of one from the store, in a hundred; the platform says only "sooner".
+/// How long a load from the runner's own disk takes, in percent of a load from the store. The platform only says that it
+/// is faster.
 const KEPT_LOAD_PERCENT: u64 = 30;
+/// The factor that turns fractional weights into integers.
 const FRACTIONAL_WEIGHT_SCALE: f64 = 10_000.0;
+/// Larger weights are capped.
 const WEIGHT_MAX: f64 = 1e12;
+/// The most adapters of one model.
 const ADAPTERS_MAX: f64 = 10_000.0;
 const REVISION: &str = "Revision";
 
@@ -22,11 +30,13 @@
     Fault::new(Kind::Config, place, what, remedy)
 }
 
-/// The revision that a document names.
+/// The revision that a document names; `None` if it is malformed.
 pub fn revision(text: &str) -> Option<u64> {
     Tree::parse(text).ok()?.whole(REVISION)
 }
 
+/// The configuration that `text` makes of `current`: the whole document or, if `is_patch`, a change of named items. Fails
+/// with all faults found.
 pub fn read(
     figures: &SettingsFigures,
     current: &FleetConfig,
@@ -46,10 +56,12 @@
     if faults.is_empty() { Ok(c) } else { Err(faults) }
 }
 
+/// A duration in milliseconds; 0 if it is absent.
 fn milliseconds(t: &Tree, key: &str) -> u64 {
     t.num(key).unwrap_or(0)
 }
 
+/// Reads a complete document and collects its faults.
 fn read_document(figures: &SettingsFigures, tree: &Tree, faults: &mut Vec<Fault>) -> FleetConfig {
     let mut c = FleetConfig { budget: figures.budget.clone(), ..FleetConfig::default() };
     c.store.adapters = false;
@@ -94,6 +106,7 @@
     c
 }
 
+/// Reads one service with its models and adapters, and the load rate of the store.
 fn read_service(figures: &SettingsFigures, t: &Tree, c: &mut FleetConfig, faults: &mut Vec<Fault>) {
     let Some(name) = t.text("Name") else {
         return faults.push(fault("Backends", "one has no Name", "name it"));
@@ -151,10 +164,13 @@
     c.services.push(s);
 }
 
+/// The weight of a service within a route.
 fn weight(t: &Tree) -> f64 {
     t.float("Weight").unwrap_or(0.0).min(WEIGHT_MAX)
 }
 
+/// Reads one route and the service that it belongs to: the named one or, for a split, the one with the greatest weight.
+/// `None` if it is faulty.
 fn read_route(at: &str, t: &Tree, c: &FleetConfig, faults: &mut Vec<Fault>) -> Option<(Name, Route)> {
     let before = faults.len();
     let mut split: Vec<Share> = Vec::new();
--- a/src/platform/list.rs
+++ b/src/platform/list.rs
@@ -1,3 +1,5 @@
+//! Reads the platform's list of instances, from which the fleet knows its runners.
+
 use crate::fleet::runner::Runner;
 use crate::json::Tree;
 use crate::kernel::ids::Name;
@@ -9,12 +11,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The list of instances that the platform keeps.
 pub struct InstanceList {
+    /// Where the list is read.
     pub addr: SocketAddr,
+    /// The pause between two readings.
     pub pause: Duration,
+    /// How old the list may become.
     pub timing: ListTiming,
 }
 
+/// One entry of the list as a runner; `None` if it is incomplete.
 fn read_runner(t: &Tree) -> Option<Runner> {
     Some(Runner {
         instance: Name::from(t.text("Id")?),
@@ -25,7 +32,7 @@
     })
 }
 
-/// A text as it may stand in a query.
+/// A text, percent-encoded for the query of a URL.
 fn percent_encoded(text: &str) -> String {
     let mut out = String::new();
     for b in text.bytes() {
--- a/src/platform/merge.rs
+++ b/src/platform/merge.rs
@@ -1,15 +1,15 @@
-//! Changes of named items: the document that one makes of the current one.
+//! Partial changes of a configuration: merges a change of named items into the current document.
 #![deny(missing_docs)]
 
 use crate::json::Tree;
 use crate::kernel::fault::{Fault, Kind};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The lists that a whole document must have.
+/// The lists that a complete document must have.
 pub const REQUIRED_LISTS: [&str; 2] = ["RouteMap", "Backends"];
-/// The list of tenants; without it everybody may send requests.
+/// The list of tenants. Without it, requests need no key.
 pub const TENANTS: &str = "Tenants";
-/// The lists whose items a change names.
+/// The lists whose items a change can name.
 const NAMED_LISTS: [&str; 3] = ["RouteMap", "Backends", TENANTS];
 const LIMITS: &str = "Limits";
 const UPSERT: &str = "Upsert";
@@ -19,7 +19,7 @@
     vec![Fault::new(Kind::Config, "configuration", "is no object", "send one JSON object")]
 }
 
-/// Reads a document, which must be one object.
+/// Parses a document. Fails unless it is one JSON object.
 pub fn parse(text: &str) -> Result<Tree, Vec<Fault>> {
     let malformed = |why| vec![Fault::new(Kind::Config, "configuration", why, "send one JSON object")];
     match Tree::parse(text).map_err(malformed)? {
@@ -28,6 +28,7 @@
     }
 }
 
+/// Sets a member of an object.
 fn put(rows: &mut Vec<(String, Tree)>, key: &str, value: Tree) {
     match rows.iter_mut().find(|r| r.0 == key) {
         Some(row) => row.1 = value,
@@ -43,7 +44,7 @@
     }
 }
 
-/// The items that stay, those that are replaced in their places, and behind them the new ones.
+/// Merges one list: replaced items keep their places, withdrawn items are dropped, and new ones are appended.
 fn merge_list(old: Vec<Tree>, upserts: &[Tree], withdrawn: &BTreeSet<String>) -> Vec<Tree> {
     let mut by_name: BTreeMap<&str, &Tree> =
         upserts.iter().filter_map(|item| Some((item.text("Name")?, item))).collect();
@@ -61,7 +62,7 @@
     merged
 }
 
-/// The document that a change of named items makes of the current one.
+/// The document that results from applying `change` to `current`. Fails if either is no object.
 pub fn merge(current: Tree, change: &Tree) -> Result<Tree, Vec<Fault>> {
     let (Tree::Map(mut rows), Tree::Map(fields)) = (current, change) else {
         return Err(not_an_object());
--- a/src/platform/operator.rs
+++ b/src/platform/operator.rs
@@ -1,4 +1,4 @@
-//! How the users' operators speak: the configuration's path, what `If-Match` may hold, the statuses of ends.
+//! The operators' protocol on the platform: the path of the configuration, `If-Match`, and the statuses of answers.
 
 use super::config::{read, revision};
 use super::precondition::Precondition;
@@ -9,24 +9,26 @@
 use crate::msg::{Answer, Event, OperatorCall};
 use crate::protocol::{OperatorProtocol, ParsedCall};
 
-/// What the settings say of every configuration: the rules' own figures.
+/// What the settings file fixes for every configuration.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsFigures {
+    /// The retry budget of each service.
     pub budget: Budget,
+    /// How strictly the rate of loads is kept.
     pub load_rate_limit: LoadRateLimit,
 }
 
-/// How strictly the store of weights is watched: in any span of `window_s` seconds may begin as many loads as its rate
-/// gives times `tolerance`, and `EXTRA_LOADS` more.
+/// How strictly the load rate of the model store is kept: within any `window_s` seconds, at most the number of loads that
+/// its rate allows, times `tolerance`, plus `EXTRA_LOADS`, may begin.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadRateLimit {
-    /// The length of the span in seconds.
+    /// The length of the window in seconds.
     pub window_s: f64,
-    /// How far the rate may be exceeded within it; 1 is not at all.
+    /// The factor by which the rate may be exceeded within the window; 1 means not at all.
     pub tolerance: f64,
 }
 
-/// So many loads more than the rate gives may begin within one window.
+/// How many loads beyond the rate may begin within one window.
 const EXTRA_LOADS: f64 = 3.0;
 
 impl Default for LoadRateLimit {
@@ -36,17 +38,20 @@
 }
 
 impl LoadRateLimit {
-    /// The most loads that may be saved up for one moment, so that with the steady rate no window holds too many.
+    /// The burst of loads that may begin at once, such that together with the steady rate no window holds too many.
     pub fn burst(&self, loads_per_s: f64) -> u64 {
         let above_rate = (self.tolerance - 1.0).max(0.0) * loads_per_s * self.window_s;
         (above_rate + EXTRA_LOADS).floor() as u64
     }
 }
 
+/// The operators' protocol on the platform.
 pub struct PlatformOperator {
+    /// What the settings fix for every configuration.
     pub figures: SettingsFigures,
 }
 
+/// The path of the configuration.
 const CONFIG: &str = "/spindledock/config";
 
 impl OperatorProtocol for PlatformOperator {
--- a/src/platform/precondition.rs
+++ b/src/platform/precondition.rs
@@ -1,30 +1,34 @@
-//! What `If-Match` says of the revision that a change builds on.
+//! Reads `If-Match`: the revision that a change is based on.
 
 use crate::json::tree::EXACT_INTEGERS;
 use std::fmt;
 
-/// The condition under which an operator wants a change taken.
+/// The condition under which a change is to be accepted.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Precondition {
-    /// Absent, or `*`: whatever is in force.
+    /// Absent or `*`: any revision may be in force.
     Any,
-    /// `5` or `"5"`: that revision, and no other.
+    /// `5` or `"5"`: exactly that revision must be in force.
     Revision(u64),
-    /// Anything else: it names no revision that could ever be in force.
+    /// Anything else: a value that no revision can match, and why.
     Never(Unmatchable, String),
 }
 
-/// Why a condition can never be met. It is so at each node and for good, so the refusal is final.
+/// Why a condition can never be met. The reason holds on every node and at any time, so the refusal is final.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Unmatchable {
+    /// A weak entity tag.
     Weak,
+    /// Several values.
     List,
+    /// Larger than any revision can be.
     TooLarge,
+    /// Not a decimal number.
     NotANumber,
 }
 
 impl Precondition {
-    /// Reads the header's value.
+    /// Reads the value of the header; `None` if it is absent.
     pub fn read(value: Option<&str>) -> Precondition {
         let Some(value) = value else { return Precondition::Any };
         let value = value.trim();
@@ -49,7 +53,7 @@
         }
     }
 
-    /// The revision that must be in force, `None` for any.
+    /// The revision that must be in force; `None` for any. Fails if no revision can match.
     pub fn revision(&self) -> Result<Option<u64>, Unmatchable> {
         match self {
             Precondition::Any => Ok(None),
@@ -58,7 +62,7 @@
         }
     }
 
-    /// One text for each condition, however it was written.
+    /// A canonical text of the condition: equal for equal conditions, however they were written.
     pub fn key(&self) -> String {
         match self {
             Precondition::Any => "any".into(),
--- a/src/platform/runner.rs
+++ b/src/platform/runner.rs
@@ -1,3 +1,5 @@
+//! The protocol of the platform's runners: request headers, answers, reports, and orders to load and unload.
+
 use crate::fleet::runner::{Runner, RunnerReport};
 use crate::gate::order::Order;
 use crate::json::Tree;
@@ -12,14 +14,18 @@
 use hyper::Request;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 
+/// The header by which a runner's answer names its request.
 const REQUEST_ID: &str = "x-request-id";
+/// The header that names the tenant to a runner.
 const TENANT_HEADER: &str = "x-tenant";
-/// The least urgent class that a runner knows.
+/// The least urgent priority class that a runner knows.
 const CLASS_MAX: u8 = 9;
-/// How many classes of routes a rank of tenants takes.
+/// How many priority classes one tenant rank spans: one for each class of routes.
 const CLASSES_PER_RANK: u8 = 4;
 
+/// The protocol of the platform's runners.
 pub struct PlatformRunner {
+    /// The name of this machine, under which orders are given.
     pub node: String,
 }
 
@@ -29,6 +35,7 @@
     }
 }
 
+/// A call to runner `r` with a JSON body.
 fn runner_call(method: &str, path: &str, r: &Runner, body: String) -> Call {
     Request::builder()
         .method(method)
@@ -40,13 +47,13 @@
         .expect("a valid call")
 }
 
-/// The class of a request at its runner: by the rank of its tenant, then by the class of its route.
+/// The priority class of a request at its runner: by the rank of its tenant, then by the class of its route.
 fn priority_class(order: &Order) -> u8 {
     let first = order.rank.0.saturating_mul(CLASSES_PER_RANK);
     first.saturating_add(order.class as u8).min(CLASS_MAX)
 }
 
-/// The models and adapters that `Models` of a report or list entry tells of.
+/// The names of the models and adapters in the `Models` of a report or a list entry.
 pub fn held_names(t: &Tree) -> Vec<Name> {
     let mut out = Vec::new();
     for m in t.list("Models") {
@@ -91,7 +98,7 @@
         if headers.contains_key("x-not-executed") {
             return ResponseOrigin::NotExecuted;
         }
-        // Without the runner's word these statuses would promise what isn't known.
+        // These statuses imply that the request was not executed, which is unknown unless the runner says so.
         if matches!(status, 408 | 429 | 503) {
             return ResponseOrigin::Stray;
         }
@@ -118,7 +125,7 @@
         Some(Load { running: n.next()??, waiting: n.next()??, slots: n.next()?? })
     }
 
-    /// The platform says where a run goes on, not that it gives what another run would have given.
+    /// The platform guarantees at which event a run continues, not that two runs produce the same content.
     fn run_contract(&self) -> RunContract {
         RunContract::SameIds
     }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,3 +1,5 @@
+//! The platform's settings file (YAML), read into the settings of a process.
+
 use super::caller::PlatformCaller;
 use super::list::InstanceList;
 use super::operator::{LoadRateLimit, PlatformOperator, SettingsFigures};
@@ -17,29 +19,33 @@
 use std::time::Duration;
 use yaml_rust2::{Yaml, YamlLoader};
 
+/// How long a router accepts requests after SIGTERM while clients find another one.
 const ROUTER_LAME_MS: u64 = 2300;
-/// The part of the grace that answers under way have to be handed over whole.
+/// The share of the grace period in which a router may complete open answers.
 const ROUTER_DRAIN_SHARE: f64 = 0.95;
-/// The part of the grace that a controller has to leave the chain.
+/// The share of the grace period in which a controller may leave the chain.
 const CONTROLLER_DRAIN_SHARE: f64 = 0.85;
-/// What is left of the time for an acknowledgement for the commit, and for a caller to come back for it.
+/// The part of the acknowledgement timeout that is reserved for the commit, and for a caller that repeats its request.
 const ACK_RESERVE_MS: u64 = 1500;
 
-/// How long an acknowledgement may wait for the leases of routers that can't confirm.
+/// How long an acknowledgement may wait for the serving leases of routers that can't confirm a change.
 fn ack_wait_ms(ack_timeout_ms: u64) -> u64 {
     ack_timeout_ms.saturating_sub(ACK_RESERVE_MS)
 }
 
+/// The environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "SPINDLEDOCK_SETTINGS";
 
 fn fault(place: &str, what: impl Into<String>, remedy: &str) -> Fault {
     Fault::new(Kind::Config, place, what, remedy)
 }
 
+/// The path of the settings file, if the variable is set.
 pub fn path() -> Option<PathBuf> {
     std::env::var(PATH_VARIABLE).ok().map(PathBuf::from)
 }
 
+/// Reads the settings file. Fails with all faults found.
 pub fn start(role: Role) -> Result<NodeConfig, Vec<Fault>> {
     let path = std::env::var(PATH_VARIABLE)
         .map_err(|_| vec![fault(PATH_VARIABLE, "is not set", "set it to the path of the settings file")])?;
@@ -48,12 +54,14 @@
     read(role, &text)
 }
 
+/// Reads values of the YAML document by their dotted paths and collects faults.
 struct SettingsReader<'a> {
     doc: &'a Yaml,
     faults: Vec<Fault>,
 }
 
 impl SettingsReader<'_> {
+    /// The value at `path`; a bad value if there is none.
     fn at(&self, path: &str) -> &Yaml {
         path.split('.').fold(self.doc, |t, key| &t[key])
     }
@@ -75,13 +83,14 @@
         SocketAddr::from(([0, 0, 0, 0], 0))
     }
 
+    /// The number at `path`, or `default` if there is none.
     fn num(&self, path: &str, default: f64) -> f64 {
         let t = self.at(path);
         t.as_f64().or_else(|| t.as_i64().map(|n| n as f64)).unwrap_or(default)
     }
 }
 
-/// How exactly quotas are kept.
+/// The settings of quotas.
 fn quota(reader: &SettingsReader) -> QuotaSettings {
     let default = QuotaSettings::default();
     let window_s = reader.num("Timers.QuotaWindowS", default.window.as_ms() as f64 / 1000.0);
@@ -93,6 +102,7 @@
     }
 }
 
+/// Reads the text of a settings file. Fails with all faults found.
 pub fn read(role: Role, text: &str) -> Result<NodeConfig, Vec<Fault>> {
     let docs = YamlLoader::load_from_str(text)
         .map_err(|e| vec![fault("settings", e.to_string(), "write one well-formed YAML document")])?;
--- a/src/platform/tenants.rs
+++ b/src/platform/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants as the users' configurations write them.
+//! Reads the tenants of a configuration: names, API keys, priorities and quotas.
 #![deny(missing_docs)]
 
 use super::merge::TENANTS;
@@ -9,7 +9,7 @@
 use hyper::header::HeaderValue;
 use std::collections::BTreeSet;
 
-/// The most requests a second, and the greatest burst, that a quota may allow.
+/// The largest value of a tenant's number: requests per second, burst or priority.
 const QUOTA_MAX: f64 = 1e9;
 const MILLI_PER_UNIT: f64 = 1000.0;
 
@@ -17,7 +17,7 @@
     Fault::new(Kind::Config, place, what, remedy)
 }
 
-/// Reads the list of tenants. A fault names the place of what is wrong and never a key.
+/// Reads the list of tenants and collects its faults. A fault names the position of an item and never contains a key.
 pub fn read(document: &Tree, faults: &mut Vec<Fault>) -> Vec<Tenant> {
     match document.get(TENANTS) {
         None | Some(Tree::Null | Tree::List(_)) => {}
@@ -40,6 +40,7 @@
     tenants
 }
 
+/// Reads one tenant; `None` if it is faulty.
 fn read_one(at: &str, item: &Tree, faults: &mut Vec<Fault>) -> Option<Tenant> {
     let name = item.text("Name").filter(|name| is_header_value(name));
     let Some(name) = name else {
@@ -65,10 +66,12 @@
     Some(Tenant { name: Name::from(name), keys, priority: priority.map(|rank| rank as u64), quota })
 }
 
+/// Whether a text can be sent as the value of a header.
 fn is_header_value(text: &str) -> bool {
     !text.is_empty() && text.trim() == text && HeaderValue::from_bytes(text.as_bytes()).is_ok()
 }
 
+/// The digests of a tenant's keys.
 fn read_keys(at: &str, item: &Tree, faults: &mut Vec<Fault>) -> Vec<KeyDigest> {
     let mut keys = BTreeSet::new();
     match item.get("ApiKeys") {
@@ -86,6 +89,7 @@
     keys.into_iter().collect()
 }
 
+/// A number from 0 to `QUOTA_MAX`; `None` if it is absent or, with a fault, malformed.
 fn read_number(at: &str, item: &Tree, key: &str, faults: &mut Vec<Fault>) -> Option<f64> {
     item.get(key).filter(|value| **value != Tree::Null)?;
     match item.float(key) {
