--- /dev/null
+++ b/src/daemon/effect_handler.rs
@@ -0,0 +1,64 @@
+//! Carries out the effects of a node that the driver passes on: routing, calls to runners, and readiness.
+
+use super::driver::EffectHandler;
+use super::input::NodeHandle;
+use super::runner_calls;
+use super::runner_list_poller::RunnerListPoller;
+use crate::chain::leaving::Departure;
+use crate::gate::Table;
+use crate::http::pool::Pool;
+use crate::kernel::time::Clock;
+use crate::msg::*;
+use crate::protocol::Protocols;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+
+/// The runners whose reports the node wants.
+pub(super) type Runners = Arc<Mutex<Vec<crate::fleet::runner::Runner>>>;
+
+/// Carries out the effects of the node that concern routing, calls to runners and readiness.
+pub(super) fn act(
+    table: &Arc<Table>,
+    clock: &Arc<dyn Clock>,
+    pool: &Arc<Pool>,
+    node: &NodeHandle,
+    routers: &Arc<AtomicU64>,
+    (runners, fit, departure): (&Runners, &Arc<AtomicBool>, &Arc<Mutex<Departure>>),
+    (protocols, list): (&Protocols, Option<Arc<RunnerListPoller>>),
+) -> EffectHandler {
+    let (table, clock, pool, node, routers) =
+        (table.clone(), clock.clone(), pool.clone(), node.clone(), routers.clone());
+    let (runners, fit, side) = (runners.clone(), fit.clone(), protocols.runner.clone());
+    let departure = departure.clone();
+    let rt = tokio::runtime::Handle::current();
+    Box::new(move |e| match e {
+        Effect::Topic { scope, at, slice, proven } => table.learn(clock.now(), &scope, at, slice, proven),
+        Effect::ServingLease { scopes, until } => table.lease(clock.now(), &scopes, until),
+        Effect::RunnerLeaving(name) => table.mark(clock.now(), &name),
+        Effect::RouterCount(n) => routers.store(n, Ordering::SeqCst),
+        Effect::PollRunners(list) => *runners.lock().unwrap() = list,
+        Effect::HoldsDuty(on) => drop(list.as_ref().map(|l| l.set_enabled(on))),
+        Effect::ReadList => drop(list.as_ref().map(|l| l.read_now())),
+        Effect::Holdings(rows) => table.held(clock.now(), &rows),
+        Effect::QuotaGranted(grants) => table.quota.lock().unwrap().granted(clock.now(), &grants),
+        Effect::PollRunner(name) => {
+            let found = runners.lock().unwrap().iter().find(|r| r.instance == name).cloned();
+            let Some(r) = found else { return };
+            let (pool, node, side) = (pool.clone(), node.clone(), side.clone());
+            rt.spawn(async move {
+                let report = runner_calls::fetch_report(&pool, &*side, &r).await;
+                node.send(Event::RunnerReport { instance: r.instance, report });
+            });
+        }
+        Effect::Ready(ready) => fit.store(ready, Ordering::SeqCst),
+        Effect::Leaving(now) => *departure.lock().unwrap() = now,
+        Effect::OrderRunner(order) => {
+            let (pool, clock, node, side) = (pool.clone(), clock.clone(), node.clone(), side.clone());
+            rt.spawn(async move {
+                let status = runner_calls::send_order(&pool, &*side, clock, &order).await;
+                node.send(Event::OrderAnswered { order: order.order, status });
+            });
+        }
+        _ => {}
+    })
+}
--- a/src/daemon/links.rs
+++ b/src/daemon/links.rs
@@ -1,11 +1,11 @@
 //! Links to other nodes: one TCP connection per peer and direction, with a bounded queue of messages by urgency. Messages
 //! may be lost; the protocols above repeat what they need.
 
+use super::peer_queue::PeerQueue;
 use super::traffic::Traffic;
-use crate::kernel::input_queue::InputQueue;
 use crate::kernel::lanes::Class;
 use crate::kernel::registry::Service;
-use crate::kernel::time::{BootClock, Clock, Span, Time};
+use crate::kernel::time::{BootClock, Clock};
 use crate::msg::Envelope;
 use crate::wire;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{Notify, Semaphore};
+use tokio::sync::Semaphore;
 
 /// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -32,59 +32,11 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(90);
 /// A link is dropped if written bytes stay unacknowledged for this long.
 const UNACKNOWLEDGED_TIMEOUT_MS: libc::c_int = 2000;
-/// Messages that have waited longer are dropped instead of sent.
-const MESSAGE_AGE_MAX: Span = Span::ms(2000);
-/// The most messages that wait for one peer.
-const QUEUE_LENGTH_MAX: usize = 256;
 /// The longest wait for a turn of the runtime.
 const TURN_WAIT_MAX: Duration = Duration::from_millis(50);
 /// The most connection attempts at a time.
 const CONCURRENT_CONNECTS_MAX: usize = 32;
 
-/// The messages that wait for one peer, the most urgent first, in the same lanes as a node's inputs.
-pub struct PeerQueue {
-    messages: Mutex<InputQueue<Vec<u8>>>,
-    message_added: Notify,
-}
-
-impl Default for PeerQueue {
-    fn default() -> PeerQueue {
-        PeerQueue {
-            messages: Mutex::new(InputQueue::limited(QUEUE_LENGTH_MAX)),
-            message_added: Notify::default(),
-        }
-    }
-}
-
-impl PeerQueue {
-    /// Queues an encoded message and returns how many messages were dropped for it. The peer may be unreachable for long,
-    /// so any message may be dropped, whatever its class.
-    pub fn add(&self, now: Time, class: Class, raw: Vec<u8>) -> u64 {
-        let mut messages = self.messages.lock().unwrap();
-        let before = messages.dropped();
-        messages.add(now, Class { droppable: true, ..class }, raw);
-        self.message_added.notify_one();
-        messages.dropped() - before
-    }
-
-    /// The next message that is not too old, and how many older ones were dropped.
-    pub fn next(&self, now: Time) -> (Option<Vec<u8>>, u64) {
-        let mut messages = self.messages.lock().unwrap();
-        let mut old = 0;
-        while let Some(next) = messages.pop(now) {
-            if next.waited <= MESSAGE_AGE_MAX {
-                return (Some(next.item), old);
-            }
-            old += 1;
-        }
-        (None, old)
-    }
-
-    fn is_empty(&self) -> bool {
-        self.messages.lock().unwrap().is_empty()
-    }
-}
-
 /// The links of one node.
 pub struct Links {
     runtime: tokio::runtime::Handle,
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -5,9 +5,11 @@
 //! this module.
 
 pub mod assemble;
+pub mod command_line;
 pub mod config;
 pub mod disk_writer;
 pub mod driver;
+mod effect_handler;
 pub mod effects;
 pub mod input;
 pub mod links;
@@ -15,8 +17,10 @@
 pub mod logs;
 pub mod node_io;
 pub mod panics;
+pub mod peer_queue;
 pub mod reload;
 pub mod restore;
+mod router_tasks;
 pub mod run;
 pub mod runner_calls;
 pub mod runner_list_poller;
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,6 +1,7 @@
 //! Reloads the settings of a running process.
 
-use super::config::{NodeConfig, StartMode, from_args};
+use super::command_line::{StartMode, from_args};
+use super::config::NodeConfig;
 use super::input::{Input, NodeHandle};
 use crate::kernel::fault::Fault;
 use crate::msg::Role;
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,15 +1,18 @@
 //! The main function of routers and controllers: starts the parts of the process and connects them.
 
 use super::assemble::{NodeSettings, controller, router};
-use super::config::{HELP, NodeConfig, StartMode};
+use super::command_line::{HELP, StartMode};
+use super::config::NodeConfig;
 use super::disk_writer::DiskWriter;
 use super::driver::Driver;
+use super::effect_handler::{Runners, act};
 use super::input::{Input, NodeHandle};
 use super::links::Links;
 use super::listener::{AnswerFuture, bind, serve_clients};
+use super::logs;
 use super::reload::SettingsSource;
+use super::router_tasks::router_tasks;
 use super::signals::Signals;
-use super::{logs, runner_calls};
 use crate::chain::leaving::Departure;
 use crate::gate::Table;
 use crate::http::client::ClientConnections;
@@ -21,17 +24,11 @@
 use crate::kernel::registry::Registry;
 use crate::kernel::time::{BootClock, Clock, Span};
 use crate::msg::*;
-use crate::protocol::Protocols;
 use error_stack::{Report, ResultExt};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, mpsc};
 use std::time::Duration;
 
-/// Every how many ticks of a router's gates the limits on client connections are applied.
-const SWEEP_TICKS: u32 = 4;
-
-type Runners = Arc<Mutex<Vec<crate::fleet::runner::Runner>>>;
-
 /// Runs a process of this role to its end. Returns 2 if the settings are faulty and 1 if the node could not start.
 pub fn main(role: Role) -> std::process::ExitCode {
     let name = if role == Role::Router { "spindledock-router" } else { "spindledock-controller" };
@@ -119,8 +116,12 @@
     let routers = Arc::new(AtomicU64::new(1));
     let runners: Runners = Arc::default();
     let fit = Arc::new(AtomicBool::new(false));
-    let list =
-        super::runner_list_poller::RunnerListPoller::new(&c.protocols, pool.clone(), node.clone(), clock.clone());
+    let list = super::runner_list_poller::RunnerListPoller::new(
+        &c.protocols,
+        pool.clone(),
+        node.clone(),
+        clock.clone(),
+    );
     let departure: Arc<Mutex<Departure>> = Arc::default();
     let flags = (&runners, &fit, &departure);
     let act = act(&table, &clock, &pool, &node, &routers, flags, (&c.protocols, list));
@@ -176,81 +177,3 @@
     let _ = thread.join();
     std::process::exit(0);
 }
-
-/// Carries out the effects of the node that concern routing, calls to runners and readiness.
-fn act(
-    table: &Arc<Table>,
-    clock: &Arc<dyn Clock>,
-    pool: &Arc<Pool>,
-    node: &NodeHandle,
-    routers: &Arc<AtomicU64>,
-    (runners, fit, departure): (&Runners, &Arc<AtomicBool>, &Arc<Mutex<Departure>>),
-    (protocols, list): (&Protocols, Option<Arc<super::runner_list_poller::RunnerListPoller>>),
-) -> super::driver::EffectHandler {
-    let (table, clock, pool, node, routers) =
-        (table.clone(), clock.clone(), pool.clone(), node.clone(), routers.clone());
-    let (runners, fit, side) = (runners.clone(), fit.clone(), protocols.runner.clone());
-    let departure = departure.clone();
-    let rt = tokio::runtime::Handle::current();
-    Box::new(move |e| match e {
-        Effect::Topic { scope, at, slice, proven } => table.learn(clock.now(), &scope, at, slice, proven),
-        Effect::ServingLease { scopes, until } => table.lease(clock.now(), &scopes, until),
-        Effect::RunnerLeaving(name) => table.mark(clock.now(), &name),
-        Effect::RouterCount(n) => routers.store(n, Ordering::SeqCst),
-        Effect::PollRunners(list) => *runners.lock().unwrap() = list,
-        Effect::HoldsDuty(on) => drop(list.as_ref().map(|l| l.set_enabled(on))),
-        Effect::ReadList => drop(list.as_ref().map(|l| l.read_now())),
-        Effect::Holdings(rows) => table.held(clock.now(), &rows),
-        Effect::QuotaGranted(grants) => table.quota.lock().unwrap().granted(clock.now(), &grants),
-        Effect::PollRunner(name) => {
-            let found = runners.lock().unwrap().iter().find(|r| r.instance == name).cloned();
-            let Some(r) = found else { return };
-            let (pool, node, side) = (pool.clone(), node.clone(), side.clone());
-            rt.spawn(async move {
-                let report = runner_calls::fetch_report(&pool, &*side, &r).await;
-                node.send(Event::RunnerReport { instance: r.instance, report });
-            });
-        }
-        Effect::Ready(ready) => fit.store(ready, Ordering::SeqCst),
-        Effect::Leaving(now) => *departure.lock().unwrap() = now,
-        Effect::OrderRunner(order) => {
-            let (pool, clock, node, side) = (pool.clone(), clock.clone(), node.clone(), side.clone());
-            rt.spawn(async move {
-                let status = runner_calls::send_order(&pool, &*side, clock, &order).await;
-                node.send(Event::OrderAnswered { order: order.order, status });
-            });
-        }
-        _ => {}
-    })
-}
-
-/// Starts what only a router does: it reports its state and its wants to the node, and ticks its gates.
-fn router_tasks(
-    table: &Arc<Table>,
-    clock: &Arc<dyn Clock>,
-    node: &NodeHandle,
-    front: &Arc<RequestService>,
-    routers: &Arc<AtomicU64>,
-) {
-    let inbox = Mutex::new(node.clone());
-    table.on_want(Arc::new(move |want| inbox.lock().unwrap().send(Event::NameWanted(want))));
-    let inbox = Mutex::new(node.clone());
-    let asker = move |demand| inbox.lock().unwrap().send(Event::QuotaWanted(demand));
-    table.quota.lock().unwrap().on_wanted(Arc::new(asker));
-    let service = front.clone();
-    let recent = Arc::new(move || service.recent.rows());
-    tokio::spawn(runner_calls::publish_router_state(table.clone(), clock.clone(), recent, node.clone()));
-    let (table, clock, routers, front) = (table.clone(), clock.clone(), routers.clone(), front.clone());
-    tokio::spawn(async move {
-        let mut tick = tokio::time::interval(Duration::from_millis(100));
-        let mut ticks = 0u32;
-        loop {
-            tick.tick().await;
-            table.tick(clock.now(), routers.load(Ordering::SeqCst));
-            ticks += 1;
-            if ticks.is_multiple_of(SWEEP_TICKS) {
-                front.sweep();
-            }
-        }
-    });
-}
--- a/src/daemon/runner_calls.rs
+++ b/src/daemon/runner_calls.rs
@@ -1,7 +1,6 @@
-//! Calls to runners on behalf of the node, and the periodic report of a router's state to it.
+//! Calls to runners on behalf of the node: reports are fetched, orders are sent.
 
 use crate::fleet::runner::{Runner, RunnerReport};
-use crate::gate::Table;
 use crate::http::connection::SendError;
 use crate::http::pool::{Pool, always_allowed};
 use crate::kernel::time::Clock;
@@ -11,8 +10,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Every how many rounds the traffic by route is part of a router's report.
-const TRAFFIC_EVERY_ROUNDS: u64 = 8;
 /// The time limit of a call to a runner.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
@@ -48,35 +45,3 @@
         Err(SendError::MaybeSent) => 0,
     }
 }
-
-/// Reports the state of this router to its node every 250 ms, with the result of rehearsing the current candidate
-/// configuration. Each candidate is rehearsed once; `recent` gives the requests that it is rehearsed against.
-pub async fn publish_router_state(
-    table: Arc<Table>,
-    clock: Arc<dyn Clock>,
-    recent: Arc<dyn Fn() -> Vec<crate::http::recent_requests::RecentRequest> + Send + Sync>,
-    node: super::input::NodeHandle,
-) {
-    let mut tick = tokio::time::interval(Duration::from_millis(250));
-    let mut last_rehearsal = None;
-    let mut rounds = 0u64;
-    loop {
-        tick.tick().await;
-        let mut tell = table.tell(clock.now());
-        rounds += 1;
-        if rounds.is_multiple_of(TRAFFIC_EVERY_ROUNDS) {
-            tell.live = crate::gate::rehearse::live(&table, clock.now(), &recent());
-        }
-        if let (at, Some(t)) = table.trial() {
-            let done: Option<(_, crate::msg::RehearsalResult)> =
-                last_rehearsal.take().filter(|l: &(_, _)| l.0 == at);
-            let row = match done {
-                Some((_, runner)) => runner,
-                None => crate::gate::rehearse::rehearse(&table, &*clock, &t, &recent()),
-            };
-            tell.rehearsal = Some(row.clone());
-            last_rehearsal = Some((at, row));
-        }
-        node.send(crate::msg::Event::RouterState(std::sync::Arc::new(tell)));
-    }
-}
--- a/src/daemon/runner_list_poller.rs
+++ b/src/daemon/runner_list_poller.rs
@@ -5,8 +5,8 @@
 use crate::http::pool::{Pool, always_allowed};
 use crate::kernel::time::Clock;
 use crate::msg::Event;
+use crate::protocol::{Protocols, RunnerListProtocol};
 use crate::runner_list::messages::RunnerListing;
-use crate::protocol::{RunnerListProtocol, Protocols};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -28,6 +28,7 @@
 }
 
 impl RunnerListPoller {
+    /// Starts the poller; `None` if the settings name no list of runners.
     pub fn new(
         protocols: &Protocols,
         pool: Arc<Pool>,
--- a/src/http/forward.rs
+++ b/src/http/forward.rs
@@ -1,16 +1,15 @@
 //! Forwards one request: feeds the state machine in [`crate::forwarding`] with events and carries out its decisions.
 
-use super::answer::{AnswerBody, coded_answer, refusal_answer};
-use super::attempt::{self, Attempt, AttemptEvent, ForwardedRequest};
-use super::body::{BodyWriter, streamed};
+use super::answer::AnswerBody;
+use super::attempt::{AttemptEvent, ForwardedRequest};
+use super::body::BodyWriter;
 use super::pool::Pool;
 use crate::forwarding::request::AttemptNo;
-use crate::forwarding::{In, Out, RequestFlow};
+use crate::forwarding::{In, RequestFlow};
 use crate::gate::{Gate, Order, Plan};
 use crate::kernel::time::Clock;
-use crate::protocol::{CallerProtocol, RunnerProtocol, Protocols};
-use bytes::Bytes;
-use http_body_util::BodyExt;
+use crate::protocol::{CallerProtocol, Protocols, RunnerProtocol};
+use effects::EffectOutcome;
 use hyper::Response;
 use hyper::header::HeaderMap;
 use std::collections::BTreeMap;
@@ -19,11 +18,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 
+mod effects;
+
 /// How often the state machine is given the time.
 const TICK_PERIOD: Duration = Duration::from_millis(50);
-/// How long a client may take none of its answer before it counts as gone.
-const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(30);
-
 /// One request being forwarded. Dropping it cancels the request.
 pub struct Forwarder {
     /// The gate of the request's service.
@@ -50,14 +48,6 @@
     body: Option<BodyWriter>,
 }
 
-/// The result of carrying out one effect.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum EffectOutcome {
-    Done,
-    /// The client accepts no more bytes, or not in time; the remaining effects must not be carried out.
-    ClientGone,
-}
-
 /// A request to be forwarded.
 pub struct ForwardJob {
     /// The parameters of the request.
@@ -142,105 +132,6 @@
         }
     }
 
-    async fn carry_out(&mut self, effect: Out) -> EffectOutcome {
-        match effect {
-            Out::Wait { avoid } => {
-                let wake_tx = self.wake_tx.clone();
-                let wake = Box::new(move |plan: Plan| wake_tx.send(plan).map_err(|back| back.0));
-                let now = self.clock.now();
-                self.gate.lock().unwrap().wait(now, self.request.order.clone(), avoid, wake);
-            }
-            Out::Open { attempt, runner, last } => self.open(attempt, runner, last),
-            Out::Close { attempt } => {
-                if let Some(task) = self.attempts.remove(&attempt) {
-                    task.abort();
-                }
-            }
-            Out::Head { attempt } => self.head(attempt),
-            Out::Pass(raw) => return self.pass(raw).await,
-            Out::Finish => {
-                if let Some(body) = self.body.take() {
-                    body.finish();
-                }
-            }
-            Out::Break(why) => {
-                log::info!(event = "answer-broken-off", service = self.request.order.service.to_string(), why = why; "");
-                self.body = None;
-            }
-            Out::Refuse(r) => self.answer(refusal_answer(&*self.caller, &r)),
-            Out::Unknown(status, text) => {
-                self.answer(coded_answer(status, "outcome-unknown", text, 0, "unknown"));
-            }
-            Out::Told(what, text) => {
-                log::info!(event = what, service = self.request.order.service.to_string(), note = text; "");
-            }
-        }
-        EffectOutcome::Done
-    }
-
-    fn open(
-        &mut self,
-        number: AttemptNo,
-        runner: crate::fleet::runner::Runner,
-        last_event_id: Option<String>,
-    ) {
-        let check = {
-            let (gate, clock) = (self.gate.clone(), self.clock.clone());
-            let (order, name) = (self.request.order.clone(), runner.instance.clone());
-            move || gate.lock().unwrap().check(clock.now(), &order, &name).err()
-        };
-        let cause = check.clone();
-        let job = Attempt {
-            number,
-            runner,
-            last_event_id,
-            order: self.request.order.clone(),
-            side: self.side.clone(),
-            clock: self.clock.clone(),
-            request: self.forwarded.clone(),
-            pool: self.pool.clone(),
-            check: Arc::new(move || check().is_none()),
-            refusal_cause: Box::new(cause),
-            events: self.event_tx.clone(),
-        };
-        self.attempts.insert(number, tokio::spawn(attempt::run(job)));
-    }
-
-    /// Sends the head of the answer, once.
-    fn answer(&mut self, response: Response<AnswerBody>) {
-        if let Some(response_tx) = self.response_tx.take() {
-            let _ = response_tx.send(response);
-        }
-    }
-
-    /// Sends the head of the attempt that the state machine has chosen and opens the body.
-    fn head(&mut self, attempt: AttemptNo) {
-        let Some((status, headers)) = self.headers.remove(&attempt) else { return };
-        let (writer, body) = streamed();
-        let mut response = Response::new(body.boxed_unsync());
-        *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-        *response.headers_mut() = headers;
-        if self.request.stream {
-            response.headers_mut().remove("content-length");
-        }
-        self.body = Some(writer);
-        self.answer(response);
-    }
-
-    /// Passes bytes of the body on, within `CLIENT_STALL_TIMEOUT` and the deadline of the whole answer.
-    async fn pass(&mut self, bytes: Bytes) -> EffectOutcome {
-        let Some(body) = &self.body else { return EffectOutcome::Done };
-        let left = self
-            .request
-            .order
-            .whole_by
-            .map_or(CLIENT_STALL_TIMEOUT, |by| by.since(self.clock.now()).as_std());
-        match tokio::time::timeout(CLIENT_STALL_TIMEOUT.min(left), body.send(bytes)).await {
-            Ok(Ok(())) => EffectOutcome::Done,
-            _ => EffectOutcome::ClientGone,
-        }
-    }
-
     /// Ends the request of a client that accepts no more bytes, or not in time: breaks the answer off and stops all
     /// attempts.
     fn abandon(&mut self) {
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -1,4 +1,4 @@
-use spindledock::daemon::links::PeerQueue;
+use spindledock::daemon::peer_queue::PeerQueue;
 use spindledock::kernel::lanes::{Class, Lane};
 use spindledock::kernel::time::{Span, Time};
 
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -15,7 +15,7 @@
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
-use spindledock::msg::Op;
+use spindledock::msg::OperatorCall;
 use spindledock::protocol::{CallerProtocol, RunnerProtocol};
 use spindledock::sim::World;
 use spindledock::sim::callers::SimFlow;
@@ -27,7 +27,7 @@
 fn set_tenants(w: &mut World, place: usize, tenants: &[(&str, Option<&[&str]>)]) {
     let rows: Vec<String> = tenants.iter().map(|(name, keys)| row(name, *keys)).collect();
     let text = format!("{{\"rollout\":{{\"refused_percent\":100}},\"tenants\":[{}]}}", rows.join(","));
-    let id = w.ask(place, Op::Part { base: None, text });
+    let id = w.ask(place, OperatorCall::PatchConfig { base: None, text });
     assert_eq!(w.answer(id, Span::ms(12_000)), Some(200), "{:?}", w.answers.get(&id));
 }
 
@@ -123,7 +123,7 @@
     Order {
         service: Name::from("s"),
         path: "/x".into(),
-        routes_at: Version(version),
+        routes_version: Version(version),
         credential: admission.credential,
         rank: admission.rank,
         ..Order::default()
