--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -44,14 +44,14 @@
 slot-released|src/forwarding/request.rs|gate.release\(now, &l.runner.instance, &self.order.model, good\);||must_never none_runs_twice
 plan-untaken|src/gate/waiters.rs|self.give_back\(&runner.instance, &waiter.order.model\);||waiter runtime_wakes_it
 end-said|src/http/body.rs|Some\(Err\("the answer was broken off before its end".into\(\)\)\)|None|platform_end never_looks_complete
-close-resets|src/http/client_stream.rs|self.resets = reset_on_close\(&self.tcp, true\).is_ok\(\);||platform_end router_ends_half_way
+close-resets|src/http/client_stream.rs|self.resets_on_close = reset_on_close\(&self.tcp, true\).is_ok\(\);||platform_end router_ends_half_way
 panic-ends|src/daemon/panics.rs|unsafe \{ libc::_exit\(PANIC_EXIT\) \}||panics ends_with_a_logged_event
 closed-end|src/forwarding/attempt.rs|end == AnswerEnd::Framed \|\| l.boundary.may_end\(\)|true|platform_stream_end may_not_be_resumed
 unplaced|src/forwarding/resume.rs|\(self.order.resumable && !self.unplaced\)|(self.order.resumable)|platform_stream_end without_ids
 withdrawn-room|src/placement/load_backoff.rs|let known: Option<u64> = names.map\(\|name\| config.max_mb\(name\)\).sum\(\);\s+known.unwrap_or\(report.room_mb\)|names.filter_map(\|name\| config.weight(name)).sum()|withdrawn over_its_room
 withdrawn-unload|src/placement/move_execution.rs|self.unload_withdrawn\(&s, ctx\);||withdrawn over_its_room
-stop-delivered|src/http/client.rs|matches!\(c.phase\(\), Phase::Serving \| Phase::Flushing\) \|\| c.unacknowledged\(\) > 0|matches!(c.phase(), Phase::Serving)|platform_stop handed_over
-stop-lingers|src/http/client.rs|self.all.stopping.load\(Ordering::SeqCst\) && |false && |platform_stop handed_over
+stop-delivered|src/http/client.rs|matches!\(c.phase\(\), Phase::Serving \| Phase::Flushing\) \|\| c.unacknowledged_bytes\(\) > 0|matches!(c.phase(), Phase::Serving)|platform_stop handed_over
+stop-lingers|src/http/client.rs|self.connections.stopping.load\(Ordering::SeqCst\)\s+&& |false && |platform_stop handed_over
 order-sequence|src/sim/runner_orders.rs|Some\(o.expected\)|None|room held_up
 foreign-order|src/placement/pending_orders.rs|busy && !self.table|false && !self.table|room predecessor
 overdue-room|src/placement/pending_orders.rs|f.is_overdue \|= !f.is_accepted|f.is_finished \|= !f.is_accepted|placement in_flight
@@ -61,8 +61,8 @@
 key-known|src/gate/admission.rs|if credential.is_none\(\) && !row.route.open|if false|platform_keys has_no_known_key
 key-last-check|src/gate/admission.rs|None => Err\(Why::UnknownKey\),|None => Ok(()),|tenants none_begins_after_the_change
 key-passed-on|src/gate/admission.rs|Some\(_\) => Err\(Why::KeyPassedOn\)|Some(_) => Ok(())|tenants none_begins_after_the_change
-key-not-forwarded|src/platform/caller.rs|heads.remove\(KEY_HEADER\)\?|heads.get(KEY_HEADER).cloned()?|platform_keys hears_its_tenant
-tenant-claim|src/platform/runner.rs|heads.remove\(TENANT\);||platform_keys neither_key_nor_tenant
+key-not-forwarded|src/platform/caller.rs|headers.remove\(KEY_HEADER\)\?|headers.get(KEY_HEADER).cloned()?|platform_keys hears_its_tenant
+tenant-claim|src/platform/runner.rs|headers.remove\(TENANT_HEADER\);||platform_keys neither_key_nor_tenant
 key-unshown|src/chain/show.rs|state.config.shown\(\)|state.config.tree()|platform_tenants anything_of_the_fleet
 silent-unload|src/placement/pending_orders.rs|!self.is_load && !self.is_overdue|!self.is_load|silent_unload every_model_is_served
 list-step-in|src/runner_list/reader.rs|if age >= self.timing.max_age\(0, 1\) && age >= self.max_age\(ctx\) \{|if false {|runner_list cut_off_from_the_list
@@ -104,21 +104,21 @@
 late-grant|src/chain/lease.rs| \|\| sent <= self.lease.returned_at||lease_return late_grant
 hopeless-votes|src/chain/view_change.rs|if !self.can_write\(ctx\) \|\| !self.has_writing_majority\(ctx\)|if false|full_and_wiped served_in_most_cases
 held-credit|src/gate/budget.rs| - self.held;|;|tries quiet_time
-reuse-quiet|src/http/connection.rs| \|\| !self.link.guard.is_quiet\(\)||platform_connection nobody_has_read_it_yet
-reuse-unread|src/http/exchange.rs|if !self.whole \{|if false {|platform_connection not_read_to_its_end
+reuse-quiet|src/http/connection.rs| \|\| !self.transport.guard.has_no_pending_input\(\)||platform_connection nobody_has_read_it_yet
+reuse-unread|src/http/exchange.rs|if !self.is_read_to_end \{|if false {|platform_connection not_read_to_its_end
 reuse-written|src/http/connection.rs|if !written \|\||if|platform_connection before_the_request_was_read
-reuse-close|src/http/connection.rs|if rest == Duration::ZERO \|\||if|platform_connection names_an_end
-reuse-rest|src/http/connection.rs|now >= self.until \|\||false \|\||platform_connection names_an_end
-drop-resets|src/http/connection.rs|self.guard.give_up\(\);||platform_gone long_body_half_way
+reuse-close|src/http/connection.rs|if keep_alive == Duration::ZERO \|\||if|platform_connection names_an_end
+reuse-rest|src/http/connection.rs|now >= self.expires_at \|\||false \|\||platform_connection names_an_end
+drop-resets|src/http/connection.rs|self.guard.reset_if_unacknowledged\(\);||platform_gone long_body_half_way
 interim|src/http/exchange.rs|if self.response.status\(\).is_informational\(\)|if false|platform_connection interim_status
-no-resend|src/http/attempt.rs|Err\(SendError::NotSent\) if used|Err(SendError::NotSent \| SendError::Unsure) if used|platform_gone after_a_request_came
+no-resend|src/http/attempt.rs|Err\(SendError::NotSent\) if was_used|Err(SendError::NotSent \| SendError::MaybeSent) if was_used|platform_gone after_a_request_came
 once-after-reset|src/forwarding/resume.rs|        \(self.order.resumable && !self.unplaced\) \|\| \(self|        true \|\| (self|platform_cuts_runner may_run_once
-own-id|src/platform/runner.rs|if other \{\s+return ResponseOrigin::Stray;|if false { return ResponseOrigin::Stray;|platform_links surplus_answer
+own-id|src/platform/runner.rs|if is_other_answer \{\s+return ResponseOrigin::Stray;|if false { return ResponseOrigin::Stray;|platform_links surplus_answer
 deadline-left|src/http/attempt.rs|job.order.end.since\(job.clock.now\(\)\)|job.order.aim|platform_links told_what_is_left
-caller-gone|src/http/forward.rs|_ = gone\(&mut c.first, &c.body\) => In::Gone,||platform_gone caller_that_leaves
+caller-gone|src/http/forward.rs|_ = client_gone\(&mut forwarder.response_tx, &forwarder.body\) => In::Gone,||platform_gone caller_that_leaves
 whole-by|src/forwarding/migration.rs|self.order.whole_by.is_some_and|None::<Time>.is_some_and|platform_gone answer_that_has_begun
 late-answer|src/forwarding/migration.rs|if !self.began && now >= self.order.end|if false|platform_gone late_answer
-head-size|src/http/serve.rs|if head_bytes\(&order\) > |if false && 0 > |platform_limits limit_on_heads
+head-size|src/http/request_service.rs|if head_bytes\(&request\) > |if false && 0 > |platform_limits limit_on_heads
 head-time|src/http/client.rs|now.since\(since\) > Span::ms\(limits.head_ms\)|false|platform_limits comes_slowly
 rest-time|src/http/client.rs|now.since\(since\) > limit.max|false && now.since(since) > limit.max|platform_limits at_rest
 rest-longer|src/http/client.rs|limit.max\(Span::ms\(limits.idle_ms\)\)|Span::ms(limits.idle_ms)|platform_limits limit_shrinks
@@ -136,7 +136,7 @@
 chain-first|src/kernel/lanes.rs|Msg::Chain\(_\) => Class::kept\(Lane::Chain\)|Msg::Chain(_) => Class::kept(Lane::Deferrable)|overload heartbeats_are_not_late
 deferrable-turn|src/kernel/input_queue.rs|self.passed_over\[\*lane as usize\] >= TURNS|false|input_queue each_gets_its_turn
 duty-lane|src/kernel/lanes.rs|Class::kept\(Lane::Duty\)|Class::kept(Lane::Deferrable)|input_queue neither_waits_behind_them
-runtime-turn|src/daemon/driver.rs|if self.clock.now\(\) >= turn_due \{|if false {|runtime_turns leave_all_the_same
+runtime-turn|src/daemon/driver.rs|if self.clock.now\(\) >= turn_due_at \{|if false {|runtime_turns leave_all_the_same
 tell-pace|src/placement/holdings_push.rs|match router_count\(ctx.views\)|match self.router_reports.len()|placement_steps few_times_a_second
 round-half|src/placement/decision_round.rs|else \{ round.half_reserve\(\) \}|else { Reserve::default() }|placement_shares for_the_names
 outcomes-kept|src/kernel/lanes.rs|Event::RunnerReport \{ .. \} \| Event::OrderAnswered \{ .. \} => Class::kept|Event::RunnerReport { .. } \| Event::OrderAnswered { .. } => Class::droppable|input_queue may_be_lost_goes
