--- a/src/chain/read_index.rs
+++ b/src/chain/read_index.rs
@@ -15,7 +15,7 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
-use crate::relay::write_patience;
+use crate::relay::write_timeout;
 use std::sync::Arc;
 
 /// How long before its caller leaves an order that got no proof is turned away.
@@ -85,9 +85,7 @@
     }
 
     fn expired(&mut self, now: Time) -> Vec<Arrival> {
-        self.arrivals
-            .extract_if(.., |a| now.since(a.since) + REJECT_MARGIN >= write_patience(&a.op))
-            .collect()
+        self.arrivals.extract_if(.., |a| now.since(a.since) + REJECT_MARGIN >= write_timeout(&a.op)).collect()
     }
 }
 
--- a/src/chain/reply.rs
+++ b/src/chain/reply.rs
@@ -1,6 +1,6 @@
 //! The answers to operators: what is known of a change, as a status and a body.
 
-use crate::fleet::ledger::{LedgerEntry, TakenOrder};
+use crate::fleet::ledger::{LedgerEntry, TakenChange};
 use crate::fleet::state::{Decision, Outcome, OutcomeCode};
 use crate::json::tree::map;
 use crate::kernel::component::Views;
@@ -62,7 +62,7 @@
 }
 
 /// The answer to a change that is remembered as taken.
-pub fn taken(order: &TakenOrder) -> Answer {
+pub fn taken(order: &TakenChange) -> Answer {
     let body = map(&[
         ("id", order.id.to_string().into()),
         ("code", OutcomeCode::Ok.to_string().into()),
--- a/src/distribution/delta.rs
+++ b/src/distribution/delta.rs
@@ -1,3 +1,5 @@
+//! Differences between two versions of a slice, so that routers need not receive whole slices again.
+
 use crate::fleet::config::{Adapter, Model, Route, Service};
 use crate::fleet::plan::PlacementPlan;
 use crate::fleet::runner::Runner;
@@ -9,27 +11,36 @@
 use bitcode::{Decode, Encode};
 use std::collections::HashMap;
 
+/// A piece of a list, relative to the older list.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum Piece<T> {
+    /// `len` items of the older list, starting at `from`.
     Keep { from: usize, len: usize },
+    /// New items.
     Put(Vec<T>),
 }
 
 type Pieces<T> = Vec<Piece<T>>;
 
+/// The difference between two slices of the same kind.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum Delta {
+    /// Of the routes.
     Routes(RoutesDelta),
+    /// Of a service.
     Service(Box<ServiceDelta>),
+    /// Of the placement duty's slice.
     Duty(Box<DutyDelta>),
 }
 
+/// The difference between two slices of the routes.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct RoutesDelta {
     rows: Pieces<RouteRow>,
     tenants: Pieces<Tenant>,
 }
 
+/// The difference between two slices of a service; `bare` is the newer one without its lists.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct ServiceDelta {
     bare: ServiceSlice,
@@ -41,6 +52,7 @@
     runners: Pieces<Runner>,
 }
 
+/// The difference between two slices of the placement duty; `bare` is the newer one without its lists.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct DutyDelta {
     bare: DutySlice,
@@ -52,6 +64,7 @@
     plans: Pieces<PlacementPlan>,
 }
 
+/// Describes `new` by pieces of `old`; items are matched by `key` and kept if they are equal.
 fn diff<T: Clone + PartialEq>(old: &[T], new: &[T], key: impl Fn(&T) -> u64) -> Pieces<T> {
     let places: HashMap<u64, usize> = old.iter().enumerate().map(|(n, t)| (key(t), n)).collect();
     let mut out: Pieces<T> = Vec::new();
@@ -67,6 +80,7 @@
     out
 }
 
+/// Builds the new list from the old one and the pieces; `None` if a piece exceeds the old list.
 fn join<T: Clone>(old: &[T], pieces: &[Piece<T>]) -> Option<Vec<T>> {
     let mut out = Vec::with_capacity(old.len());
     for p in pieces {
@@ -133,6 +147,7 @@
 }
 
 impl Delta {
+    /// The difference from `old` to `new`; `None` if they differ in kind.
     pub fn of(old: &Slice, new: &Slice) -> Option<Delta> {
         match (old, new) {
             (Slice::Routes(a), Slice::Routes(b)) => Some(Delta::Routes(routes(a, b))),
@@ -142,6 +157,7 @@
         }
     }
 
+    /// Builds the new slice from the old one; `None` if the difference does not fit it.
     pub fn apply(&self, old: &Slice) -> Option<Slice> {
         match (self, old) {
             (Delta::Routes(d), Slice::Routes(old)) => Some(Slice::Routes(RoutesSlice {
--- a/src/distribution/pace.rs
+++ b/src/distribution/pace.rs
@@ -1,60 +1,62 @@
-//! When a router asks for a topic again.
+//! When a router asks for topics again.
 #![deny(missing_docs)]
 
 use crate::kernel::component::{Context, Views};
 use crate::kernel::time::{Span, Time};
 use crate::msg::Role;
 
-/// How often a question is repeated that nobody answers, at first.
-const FIRST: Span = Span::ms(200);
-/// All routers together ask one controller at most once in this time, once their questions have become rarer.
-const PER_ROUTER: Span = Span::ms(5);
+/// The first interval at which an unanswered request is repeated.
+const FIRST_INTERVAL: Span = Span::ms(200);
+/// At the longest interval, one controller receives at most one request in this time from all routers
+/// together.
+const INTERVAL_PER_ROUTER: Span = Span::ms(5);
 
-/// Something that is due at times.
+/// A timer with jitter.
 #[derive(Default)]
 pub(super) struct Timer {
-    at: Time,
+    /// When it is due.
+    due_at: Time,
 }
 
 impl Timer {
-    /// Whether it is due; if so, it is due again after `wait`, drawn a little longer.
+    /// Whether the timer is due; if so, it is due again after `wait` and up to an eighth more.
     pub(super) fn take_due(&mut self, wait: Span, ctx: &mut Context) -> bool {
-        let take_due = ctx.now >= self.at;
-        if take_due {
-            self.at = ctx.now + wait + Span(ctx.rand.below(wait.0 / 8));
+        let is_due = ctx.now >= self.due_at;
+        if is_due {
+            self.due_at = ctx.now + wait + Span(ctx.rand.below(wait.0 / 8));
         }
-        take_due
+        is_due
     }
 }
 
-/// Questions to the core that are asked more and more rarely while they do not help, down to a rate that the core
-/// bears from all routers at once.
+/// Exponential backoff for requests to the controllers, up to an interval at which they can handle the
+/// requests of all routers at once.
 #[derive(Default)]
 pub(super) struct Backoff {
-    due: Timer,
-    in_vain: u32,
+    timer: Timer,
+    attempts: u32,
 }
 
 impl Backoff {
-    /// Whether the next question may be asked.
+    /// Whether the next request may be sent.
     pub(super) fn take_due(&mut self, ctx: &mut Context) -> bool {
-        let wait = Span(FIRST.0 << self.in_vain.min(16)).min(longest(ctx.views));
-        self.due.take_due(wait, ctx)
+        let wait = Span(FIRST_INTERVAL.0 << self.attempts.min(16)).min(max_interval(ctx.views));
+        self.timer.take_due(wait, ctx)
     }
 
-    /// A question was asked, or there was none to ask.
+    /// Notes whether a request was sent; if there was none to send, the interval is the first one again.
     pub(super) fn record_attempt(&mut self, any: bool) {
-        self.in_vain = if any { self.in_vain + 1 } else { 0 };
+        self.attempts = if any { self.attempts + 1 } else { 0 };
     }
 
-    /// There is a reason to ask at once: once, as all routers may have it.
+    /// Allows one request at once. Only one, because all routers may have the same reason.
     pub(super) fn reset(&mut self) {
-        self.due = Timer::default();
+        self.timer = Timer::default();
     }
 }
 
-/// The longest that this router waits before it asks the core again in vain.
-fn longest(views: &Views) -> Span {
+/// The longest interval.
+fn max_interval(views: &Views) -> Span {
     let routers = views.members.iter().filter(|row| row.who.role == Role::Router).count();
-    FIRST.max(Span(PER_ROUTER.0 * routers as u64))
+    FIRST_INTERVAL.max(Span(INTERVAL_PER_ROUTER.0 * routers as u64))
 }
--- a/src/distribution/serving_lease.rs
+++ b/src/distribution/serving_lease.rs
@@ -1,9 +1,10 @@
 //! The router's side of serving leases.
 //!
-//! A router may serve by a topic for `proof` after it asked for the newest version of it. A serving lease lets
-//! it go on for longer while the controllers can't be reached. The tail grants one only to a router that has the
-//! newest version of all that it serves by, and keeps a ledger of the grants: no change is acknowledged before
-//! each router that holds a lease has confirmed it, or has no more than `proof` left of that lease.
+//! A router may serve by a topic for `freshness_limit` after it asked for the newest version. A serving lease
+//! extends this while the controllers can't be reached. The tail grants one only to a router that has the
+//! newest version of everything it serves by, and keeps a ledger of the grants: no change is acknowledged
+//! before each router that holds a lease has confirmed the change, or has no more than `freshness_limit` left
+//! of the lease.
 
 use super::messages::{LeaseNumber, ServingLeaseGrant, ServingLeaseRequest};
 use super::reader::TopicReader;
@@ -18,23 +19,26 @@
 
 /// How often a lease is renewed while nothing changes.
 const RENEWAL_INTERVAL: Span = Span::ms(500);
-/// With many routers each renews its lease less often, once in this time for each of them,
+/// With many routers each renews its lease less often: once in this time for each router,
 const RENEWAL_PER_ROUTER: Span = Span::ms(4);
-/// but so often that this part of what the lease runs beyond `proof` is always left.
+/// but at intervals of at most this part (one half) of the time by which a lease exceeds `freshness_limit`,
+/// so that as much of it is always left.
 const RENEWAL_SHARE: u64 = 2;
-/// How soon after a request another one may confirm a newer version.
+/// The shortest time between a request and the next one, which confirms a newer version.
 const CONFIRMATION_INTERVAL: Span = Span::ms(15);
 
-/// The request that is under way: when it was sent, and the topics that it named.
+/// The request under way: when it was sent, and the topics that it names.
 struct Request {
     nonce: u64,
     sent: Time,
     scopes: Vec<Scope>,
 }
 
-/// Topics that may be served by until a time.
-pub struct Leased {
+/// Topics by which the router may serve until a time.
+pub struct LeasedTopics {
+    /// The topics.
     pub scopes: Vec<Scope>,
+    /// The end of the lease.
     pub until: Time,
 }
 
@@ -51,7 +55,7 @@
 }
 
 impl ServingLease {
-    /// The next request, if one is due: at once after a change, else every `renewal`.
+    /// The next request, if one is due: at once after a change, otherwise every `renewal`.
     pub fn request(&mut self, reader: &TopicReader, renewal: Span, now: Time) -> Option<ServingLeaseRequest> {
         let idle = now.since(self.requested);
         if idle < CONFIRMATION_INTERVAL {
@@ -69,15 +73,15 @@
         Some(ServingLeaseRequest { nonce: self.nonce, last_grant: self.last_grant, versions })
     }
 
-    /// A grant counts from the moment when its request was sent, and only if that is the newest one.
-    pub fn granted(&mut self, grant: &ServingLeaseGrant) -> Option<Leased> {
+    /// Takes a grant. It counts from when its request was sent, and only if that request is the newest.
+    pub fn granted(&mut self, grant: &ServingLeaseGrant) -> Option<LeasedTopics> {
         let request = self.request.take_if(|r| r.nonce == grant.nonce)?;
         if self.last_grant == LeaseNumber::default() {
             self.requested = Time(0);
         }
         self.last_grant = grant.grant;
         self.until = request.sent + grant.length;
-        Some(Leased { scopes: request.scopes, until: self.until })
+        Some(LeasedTopics { scopes: request.scopes, until: self.until })
     }
 
     /// How long the lease still runs.
@@ -95,7 +99,7 @@
     }
 }
 
-/// The versions that a router has, or nothing if it doesn't know one of the topics yet.
+/// The versions that a router has; `None` if one of the topics is not known yet.
 fn versions(reader: &TopicReader, scopes: &[Scope]) -> Option<Vec<Version>> {
     let version = |s: &Scope| {
         let topic = reader.topics.get(s).filter(|t| t.history.slice.is_some() && !t.needs_whole)?;
@@ -104,7 +108,7 @@
     scopes.iter().map(version).collect()
 }
 
-/// How often a lease is renewed while nothing changes.
+/// How often this router renews its lease while nothing changes.
 fn renewal_interval(ctx: &Context) -> Span {
     let routers = ctx.views.members.iter().filter(|row| row.who.role == Role::Router).count() as u64;
     let longest = Span(ctx.me.serving_lease.0.saturating_sub(ctx.me.freshness_limit.0) / RENEWAL_SHARE);
@@ -113,7 +117,8 @@
 }
 
 impl Distribution {
-    /// Asks the head, which passes it along the chain; the same letter confirms what this router has.
+    /// Sends a request to the head, which passes it along the chain. The same message confirms the versions
+    /// that this router has.
     pub(super) fn request_lease(&mut self, ctx: &mut Context) {
         if ctx.me.serving_lease <= ctx.me.freshness_limit {
             return;
@@ -126,7 +131,7 @@
     }
 
     pub(super) fn on_lease_grant(&mut self, grant: &ServingLeaseGrant, ctx: &mut Context) {
-        if let Some(Leased { scopes, until }) = self.lease.granted(grant) {
+        if let Some(LeasedTopics { scopes, until }) = self.lease.granted(grant) {
             ctx.effects.push(Effect::ServingLease { scopes, until });
         }
     }
--- a/src/distribution/subscribers.rs
+++ b/src/distribution/subscribers.rs
@@ -1,3 +1,5 @@
+//! Who recently asked for which topics, and updates for them when a topic changes.
+
 use super::history::{ChangeHistory, UpdateBody};
 use crate::fleet::state::{FleetState, Scope};
 use crate::kernel::ids::*;
@@ -6,20 +8,24 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// How long after its last request a node is sent updates.
 pub const SUBSCRIPTION_TTL: Span = Span::ms(1000);
 
+/// The nodes that recently asked, with the versions that they have.
 #[derive(Clone, Default)]
 pub struct Subscribers {
     rows: BTreeMap<NodeId, (Time, BTreeMap<Scope, Version>)>,
 }
 
 impl Subscribers {
+    /// Notes that a node asked for a topic and has this version, or is being sent it.
     pub fn record(&mut self, from: NodeId, scope: &Scope, at: Version, now: Time) {
         let row = self.rows.entry(from).or_default();
         row.0 = now;
         row.1.insert(scope.clone(), at);
     }
 
+    /// Updates for the nodes whose version is older, which are then taken to have the new one.
     pub fn take_updates(
         &mut self,
         scope: &Scope,
@@ -38,6 +44,7 @@
     }
 }
 
+/// The tail's side: topics cut from the replicated state.
 #[derive(Clone, Default)]
 pub struct Publisher {
     histories: BTreeMap<Scope, ChangeHistory>,
@@ -45,6 +52,7 @@
 }
 
 impl Publisher {
+    /// The history of a topic, with its newest content.
     fn current_history(&mut self, scope: &Scope, state: &FleetState) -> &ChangeHistory {
         let at = state.scope_at(scope);
         let history = self.histories.entry(scope.clone()).or_default();
@@ -54,6 +62,7 @@
         history
     }
 
+    /// Answers a request for topics.
     pub fn answer(
         &mut self,
         from: NodeId,
@@ -72,6 +81,7 @@
         items
     }
 
+    /// Updates for subscribers of topics that changed. The slice of the placement duty is not pushed.
     pub fn pushes(&mut self, state: &FleetState, now: Time) -> BTreeMap<NodeId, Vec<TopicUpdate>> {
         let mut out: BTreeMap<NodeId, Vec<TopicUpdate>> = BTreeMap::new();
         let scopes: Vec<Scope> = self.histories.keys().cloned().collect();
@@ -89,6 +99,7 @@
         out
     }
 
+    /// Forgets all topics and subscribers.
     pub fn clear(&mut self) {
         *self = Publisher::default();
     }
--- a/src/fleet/check.rs
+++ b/src/fleet/check.rs
@@ -1,7 +1,10 @@
+//! Checks of a configuration that concern more than one field.
+
 use super::config::*;
 use crate::kernel::fault::{Fault, Kind};
 use std::collections::BTreeSet;
 
+/// All faults that show only between the parts of a configuration.
 pub fn check(c: &FleetConfig) -> Vec<Fault> {
     let mut bad = Vec::new();
     let mut say = |place: String, what: String, remedy: &str| {
--- a/src/fleet/defaults.rs
+++ b/src/fleet/defaults.rs
@@ -1,3 +1,5 @@
+//! Defaults of the configuration.
+
 use super::config::*;
 
 impl Default for Limits {
--- a/src/fleet/fold.rs
+++ b/src/fleet/fold.rs
@@ -1,8 +1,8 @@
-//! Applies committed changes to the fleet's state. Each member does so in the same order, so whatever is decided
-//! here is known to all of them and for good.
+//! Applies committed changes to the state. Every member applies the same changes in the same order, so
+//! whatever is decided here is final and known to all of them.
 
 use super::former::remembered;
-use super::ledger::{RefusedOrder, TakenOrder};
+use super::ledger::{RefusedChange, TakenChange};
 use super::state::*;
 use crate::kernel::ids::*;
 
@@ -90,7 +90,8 @@
         self.end(id, OutcomeCode::Ok, text, stages.to_vec());
     }
 
-    /// Makes a refusal final, unless the order was taken before it or has become good meanwhile.
+    /// Makes a refusal final, unless the change was taken before it or its base has come into force
+    /// meanwhile.
     fn refuse(&mut self, id: ChangeId, base: Option<u64>, last_revision: u64, code: OutcomeCode, text: &str) {
         let base_came = base == Some(self.config.revision);
         if self.decision(id).is_some() || base_came {
@@ -158,7 +159,7 @@
             return self.end(id, OutcomeCode::MovePending, text, vec![]);
         }
         self.moves.push(plan.clone());
-        if self.moves.len() > MOVES {
+        if self.moves.len() > MAX_MOVES {
             let old = self.moves.iter().position(|m| !m.is_active()).unwrap_or(0);
             self.moves.remove(old);
         }
@@ -180,33 +181,35 @@
         self.touch(Scope::Duty);
     }
 
-    /// Notes that the part of the state named by `scope` changed.
+    /// Notes that the scope changed at this version.
     pub fn touch(&mut self, scope: Scope) {
         self.touched.insert(scope, self.at);
     }
 
-    /// Ends a change for good: an order that is refused here is never taken later.
+    /// Records the outcome of a change. A change that is refused here is never taken later.
     pub fn end(&mut self, id: ChangeId, code: OutcomeCode, text: String, stages: Vec<StageFigure>) {
         match code {
             OutcomeCode::Ok => {
-                self.ledger.record_taken(TakenOrder { id, at: self.at, revision: self.config.revision })
+                self.ledger.record_taken(TakenChange { id, at: self.at, revision: self.config.revision })
             }
-            _ => self.ledger.record_refused(RefusedOrder { id, last_revision: u64::MAX }),
+            _ => self.ledger.record_refused(RefusedChange { id, last_revision: u64::MAX }),
         }
         self.keep_outcome(id, code, text, stages);
     }
 
-    /// Ends an order that nothing could take once the revision in force is above `last_revision`.
+    /// Records the refusal of a change that could not be taken anyway once the revision in force is above
+    /// `last_revision`.
     fn end_refused(&mut self, id: ChangeId, code: OutcomeCode, text: String, last_revision: u64) {
-        self.ledger.record_refused(RefusedOrder { id, last_revision });
+        self.ledger.record_refused(RefusedChange { id, last_revision });
         self.keep_outcome(id, code, text, vec![]);
     }
 
-    /// Keeps an end for who asks; operators' ends and the fleet's own don't take each other's room.
+    /// Keeps an outcome for later questions. Operators' changes and the fleet's own are kept apart, so that
+    /// neither displaces the other.
     fn keep_outcome(&mut self, id: ChangeId, code: OutcomeCode, text: String, stages: Vec<StageFigure>) {
         let (rows, most) = match id.is_operators() {
-            true => (&mut self.outcomes, OUTCOMES),
-            false => (&mut self.internal_outcomes, INTERNAL_OUTCOMES),
+            true => (&mut self.outcomes, MAX_OUTCOMES),
+            false => (&mut self.internal_outcomes, MAX_INTERNAL_OUTCOMES),
         };
         rows.push(Outcome { id, at: self.at, code, text, stages });
         if rows.len() > most {
--- a/src/fleet/fold_plan.rs
+++ b/src/fleet/fold_plan.rs
@@ -1,10 +1,15 @@
+//! Applies committed changes of placement plans.
+
 use super::plan::{PlacementPlan, PlanState};
 use super::state::*;
 use crate::kernel::ids::*;
 
-pub const PLANS: usize = 48;
+/// How many plans are kept.
+pub const MAX_PLANS: usize = 48;
 
 impl FleetState {
+    /// Adds a plan, unless it is known or was made under an old term or configuration. A new proposal
+    /// supersedes the one before it.
     pub fn fold_plan(&mut self, term: Term, plan: &PlacementPlan, asked: Option<ChangeId>) {
         let known = self.plans.iter().any(|p| p.id == plan.id);
         let old = self.duty.as_ref().is_some_and(|d| d.term != term);
@@ -23,7 +28,7 @@
             _ => format!("plan {} is {}; see it with: spindledock plan", plan.at, plan.state),
         };
         self.plans.push(plan);
-        while self.plans.len() > PLANS {
+        while self.plans.len() > MAX_PLANS {
             let ended = |p: &PlacementPlan| !p.is_running() && p.state != PlanState::Proposed;
             let old = self.plans.iter().position(ended).unwrap_or(0);
             self.plans.remove(old);
@@ -35,6 +40,7 @@
         }
     }
 
+    /// Notes that an operator asks for a plan; the question before it ends as superseded.
     pub fn fold_ask(&mut self, id: ChangeId) {
         if self.decision(id).is_some() || self.plan_ask == Some(id) {
             return;
@@ -45,6 +51,7 @@
         self.touch(Scope::Duty);
     }
 
+    /// Starts the proposed plan, if the operator names its version and it fits the configuration in force.
     pub fn fold_accept(&mut self, id: ChangeId, at: Version) {
         if self.decision(id).is_some() {
             return;
@@ -69,6 +76,7 @@
         self.end(id, OutcomeCode::StalePlan, text, vec![]);
     }
 
+    /// Ends the current stage of a running plan.
     pub fn fold_stage(&mut self, id: PlanId, term: Term, to: PlanState, figure: &StageFigure) {
         if self.duty.as_ref().is_some_and(|d| d.term != term) {
             return;
@@ -86,6 +94,7 @@
         self.touch(Scope::Duty);
     }
 
+    /// Supersedes all plans that run or are proposed, because they were made for another configuration.
     pub fn drop_plans(&mut self) {
         for p in &mut self.plans {
             if matches!(p.state, PlanState::Running | PlanState::Proposed) {
--- a/src/fleet/former.rs
+++ b/src/fleet/former.rs
@@ -1,8 +1,9 @@
-//! What runners may still hold of earlier configurations: names that a change withdrew or gave another weight.
+//! The weights of models and adapters of earlier configurations: of names that a change withdrew or gave
+//! another weight.
 //!
-//! A runner holds what it was ordered to load until it is ordered to unload it, whatever the configuration says
-//! meanwhile. Its room is told from these weights too, so they are part of the fleet's state and outlive the holder of
-//! the placement duty and every restart.
+//! A runner holds what it was ordered to load until it is ordered to unload it, whatever the configuration
+//! says meanwhile. Its free room is computed from these weights too, so they are part of the replicated state
+//! and survive the holder of the placement duty and every restart.
 #![deny(missing_docs)]
 
 use super::config::FleetConfig;
@@ -10,19 +11,20 @@
 use crate::kernel::ids::Name;
 use bitcode::{Decode, Encode};
 
-/// So many names are remembered; the oldest give way. A name that is not known at all fills its runner.
-pub const FORMER_MAX: usize = 4096;
+/// The number of names that are remembered; beyond it the oldest are forgotten. A runner that holds a
+/// forgotten name counts as full.
+pub const MAX_FORMER_WEIGHTS: usize = 4096;
 
-/// A model or adapter as earlier configurations had it.
+/// The weights that a model or adapter had in earlier configurations.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct FormerWeight {
     /// Its name.
     pub name: Name,
-    /// The least weight it had.
+    /// The smallest weight that it had, in MB.
     pub min_mb: u64,
-    /// The greatest weight it had.
+    /// The largest weight that it had, in MB.
     pub max_mb: u64,
-    /// The model it belonged to, if it was an adapter.
+    /// The model that it belonged to, if it was an adapter.
     pub base: Option<Name>,
 }
 
@@ -38,7 +40,7 @@
     }
 }
 
-/// What is remembered once `new` takes the place of `old`.
+/// The former weights once `new` replaces `old`.
 pub fn remembered(old: &FleetConfig, new: &FleetConfig) -> NamedList<FormerWeight> {
     if old.models == new.models && old.adapters == new.adapters {
         return old.former.clone();
@@ -55,19 +57,21 @@
         }
         rows.push(former);
     }
-    let surplus = rows.len().saturating_sub(FORMER_MAX);
+    let surplus = rows.len().saturating_sub(MAX_FORMER_WEIGHTS);
     rows.drain(..surplus);
     rows.into()
 }
 
 impl FleetConfig {
-    /// The most that a runner's copy of `name` may take, of whatever configuration it is; none if that is not known.
+    /// The most memory that a runner's copy of `name` may take, whichever configuration it was loaded
+    /// under, in MB; `None` if the name is not known.
     pub fn max_mb(&self, name: &Name) -> Option<u64> {
         let former = self.former.named(name).map(|f| f.max_mb);
         self.weight(name).max(former)
     }
 
-    /// The least that an unload of a runner's copy of `name` frees.
+    /// The least memory that unloading a runner's copy of `name` frees, in MB; `None` if the name is not
+    /// known.
     pub fn min_mb(&self, name: &Name) -> Option<u64> {
         let former = self.former.named(name).map(|f| f.min_mb);
         match (self.weight(name), former) {
@@ -76,7 +80,7 @@
         }
     }
 
-    /// The model that an adapter belongs to, also of one that was withdrawn.
+    /// The model that an adapter belongs to, also if the adapter was withdrawn.
     pub fn base_of(&self, name: &Name) -> Option<&Name> {
         match self.adapter(name) {
             Some(adapter) => Some(&adapter.model),
--- a/src/fleet/named.rs
+++ b/src/fleet/named.rs
@@ -1,7 +1,7 @@
-//! A list of named rows that is searched by name.
+//! A list of named rows with an index by name.
 //!
-//! Configurations hold tens of thousands of models and adapters, and placement looks them up by name all
-//! the time. The index by name is built at the first look-up and dropped by any change of the list.
+//! Configurations hold tens of thousands of models and adapters, and placement looks them up by name all the
+//! time. The index is built at the first lookup and dropped by any change of the list.
 #![deny(missing_docs)]
 
 use crate::kernel::ids::Name;
@@ -19,7 +19,7 @@
     fn name(&self) -> &Name;
 }
 
-/// A `Vec` of named rows with an index by name beside it.
+/// A `Vec` of named rows, and an index by name.
 #[derive(Clone, Encode, Decode)]
 pub struct NamedList<T> {
     rows: Vec<T>,
@@ -27,7 +27,7 @@
     by_name: ByName,
 }
 
-/// The places of the rows by their names; of equal names the first.
+/// The positions of the rows by name; of equal names the first.
 #[derive(Clone, Default)]
 struct ByName(OnceLock<Arc<HashTable<u32>>>);
 
@@ -39,22 +39,22 @@
     /// The first row of that name.
     pub fn named(&self, name: &Name) -> Option<&T> {
         let index = self.by_name.0.get_or_init(|| Arc::new(self.index()));
-        let place = index.find(hash(name), |place| self.name_at(*place) == name)?;
-        self.rows.get(*place as usize)
+        let position = index.find(hash(name), |position| self.name_at(*position) == name)?;
+        self.rows.get(*position as usize)
     }
 
     fn index(&self) -> HashTable<u32> {
         let mut index = HashTable::with_capacity(self.rows.len());
-        for place in 0..self.rows.len() as u32 {
-            let name = self.name_at(place);
+        for position in 0..self.rows.len() as u32 {
+            let name = self.name_at(position);
             let is_same = |other: &u32| self.name_at(*other) == name;
-            index.entry(hash(name), is_same, |other| hash(self.name_at(*other))).or_insert(place);
+            index.entry(hash(name), is_same, |other| hash(self.name_at(*other))).or_insert(position);
         }
         index
     }
 
-    fn name_at(&self, place: u32) -> &Name {
-        self.rows[place as usize].name()
+    fn name_at(&self, position: u32) -> &Name {
+        self.rows[position as usize].name()
     }
 }
 
--- a/src/fleet/outcome.rs
+++ b/src/fleet/outcome.rs
@@ -1,4 +1,4 @@
-//! How a change ended, as the replicated state keeps it.
+//! The outcomes of changes, as the replicated state keeps them.
 
 use super::ledger::LedgerEntry;
 use super::state::StageFigure;
@@ -7,26 +7,34 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// The end of a change.
+/// How a change ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Encode, Decode)]
 pub enum OutcomeCode {
+    /// It was made.
     Ok,
-    /// It was made on top of a configuration that is not the current one.
+    /// It builds on a configuration that is not the current one.
     StaleBase,
     /// Its revision is not above the current one.
     OldRevision,
-    /// It makes no valid configuration of the current one.
+    /// Applied to the current configuration it gives an invalid one.
     BadConfiguration,
     /// Another candidate is under rehearsal.
     ChangePending,
+    /// The rehearsal refused it.
     RehearsalFailed,
+    /// It names a runner that is not listed.
     UnknownRunner,
+    /// It asks for a move that is not possible.
     BadMove,
+    /// A move that conflicts with it is under way.
     MovePending,
+    /// It accepts a plan that is not the proposed one.
     StalePlan,
+    /// A later change replaced it.
     Superseded,
 }
 
+/// The codes as operators see them.
 const CODES: [(OutcomeCode, &str); 11] = [
     (OutcomeCode::Ok, "ok"),
     (OutcomeCode::StaleBase, "stale-base"),
@@ -57,20 +65,27 @@
     }
 }
 
-/// The end of one change, with what its stages took.
+/// The outcome of one change.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct Outcome {
+    /// The change.
     pub id: ChangeId,
+    /// The version at which it ended.
     pub at: Version,
+    /// How it ended.
     pub code: OutcomeCode,
+    /// An explanation for operators.
     pub text: String,
+    /// What its stages took.
     pub stages: Vec<StageFigure>,
 }
 
-/// What is known for good of a change.
+/// What is final about a change.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Decision<'a> {
+    /// Its outcome.
     Outcome(&'a Outcome),
+    /// What the ledger remembers of it.
     Ledger(LedgerEntry),
 }
 
--- a/src/fleet/read.rs
+++ b/src/fleet/read.rs
@@ -1,3 +1,5 @@
+//! Reads a configuration in the product's own format. Ranges and defaults of its fields are given here.
+
 use super::config::*;
 use super::tenant_format;
 use crate::json::{Reader, Tree};
@@ -6,6 +8,11 @@
 
 const CLASSES: [&str; 4] = ["counter", "chat", "normal", "bulk"];
 
+/// Reads a configuration from JSON.
+///
+/// # Errors
+///
+/// All faults of the document, each with its place.
 pub fn read_text(text: &str) -> Result<FleetConfig, Vec<Fault>> {
     match Tree::parse(text) {
         Ok(tree) => read(&tree),
@@ -15,6 +22,11 @@
     }
 }
 
+/// Reads a configuration from a JSON tree.
+///
+/// # Errors
+///
+/// All faults of the document, each with its place.
 pub fn read(tree: &Tree) -> Result<FleetConfig, Vec<Fault>> {
     let mut bad = Vec::new();
     let mut r = Reader::new("", tree);
--- a/src/fleet/routes.rs
+++ b/src/fleet/routes.rs
@@ -1,3 +1,5 @@
+//! The routes as routers look them up.
+
 use super::slice::{RouteRow, RoutesSlice};
 use super::state::Scope;
 use super::tenants::Tenants;
@@ -8,6 +10,7 @@
 /// The routes by host and prefix, and the tenants of the same configuration.
 #[derive(Default, Debug)]
 pub struct RouteTable {
+    /// The routes, in the order of [`super::slice::route_rows`].
     pub rows: Vec<RouteRow>,
     /// Who may send requests on them.
     pub tenants: Tenants,
@@ -31,7 +34,8 @@
 }
 
 impl RouteTable {
-    /// The route with the longest prefix of `path` at `host`; one that names the host goes first.
+    /// The route with the longest prefix of `path` at `host`; at equal length one that names the host goes
+    /// first.
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteRow> {
         let own = self.index.get(host);
         let any = if host.is_empty() { None } else { self.index.get("") };
@@ -55,7 +59,7 @@
 }
 
 impl RouteRow {
-    /// The service that a draw falls on, by the weights of the split.
+    /// The service that a draw selects, by the weights of the split.
     pub fn pick(&self, draw: u64) -> &Name {
         let all: u64 = self.route.split.iter().map(|w| w.weight).sum();
         if all == 0 {
@@ -71,6 +75,7 @@
         &self.service
     }
 
+    /// Whether the route can select this service.
     pub fn leads_to(&self, service: &Name) -> bool {
         if self.route.split.is_empty() {
             return self.service == *service;
@@ -78,6 +83,7 @@
         self.route.split.iter().any(|w| w.weight > 0 && w.service == *service)
     }
 
+    /// The topics of the services that the route names.
     pub fn scopes(&self) -> impl Iterator<Item = Scope> + '_ {
         let more = self.route.split.iter().map(|w| &w.service);
         std::iter::once(&self.service).chain(more).map(|n| Scope::Service(n.clone()))
--- a/src/fleet/show.rs
+++ b/src/fleet/show.rs
@@ -1,3 +1,5 @@
+//! Writes the state and the configuration in the product's own format, as operators see them.
+
 use super::config::*;
 use super::state::*;
 use crate::json::tree::{Tree, map, names};
@@ -7,11 +9,13 @@
 }
 
 impl FleetConfig {
-    /// The configuration as it is told to everybody who may look: without its source, which holds the tenants' keys.
+    /// The configuration without its source, which holds tenants' keys: this form may be shown to
+    /// everybody.
     pub fn shown(&self) -> Tree {
         FleetConfig { source: String::new(), ..self.clone() }.tree()
     }
 
+    /// The configuration as [`super::read`] reads it.
     pub fn tree(&self) -> Tree {
         let models = self.models.iter().map(|m| {
             map(&[
@@ -140,6 +144,7 @@
     ])
 }
 
+/// What stages took.
 pub fn stages(rows: &[StageFigure]) -> Tree {
     let one = |s: &StageFigure| {
         map(&[
@@ -155,6 +160,7 @@
 }
 
 impl Outcome {
+    /// The outcome as operators see it.
     pub fn tree(&self) -> Tree {
         map(&[
             ("id", self.id.to_string().into()),
@@ -167,6 +173,7 @@
 }
 
 impl MovePlan {
+    /// The move as operators see it.
     pub fn tree(&self) -> Tree {
         map(&[
             ("id", self.id.to_string().into()),
@@ -183,6 +190,7 @@
 }
 
 impl FleetState {
+    /// A summary of the state.
     pub fn tree(&self) -> Tree {
         let trial = self.candidate.as_ref().map_or(Tree::Null, |t| t.id.to_string().into());
         let duty = self.duty.as_ref().map_or(Tree::Null, |d| {
--- a/src/fleet/slice.rs
+++ b/src/fleet/slice.rs
@@ -1,3 +1,5 @@
+//! Slices: the parts of the state that are distributed as topics.
+
 use super::config::*;
 use super::named::NamedList;
 use super::plan::{PlacementPlan, PlanState, PlanStep};
@@ -8,55 +10,87 @@
 use crate::kernel::rand::hash;
 use bitcode::{Decode, Encode};
 
+/// The content of a topic.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum Slice {
+    /// Content of `Scope::Routes`.
     Routes(RoutesSlice),
+    /// Content of `Scope::Candidate`.
     Candidate(Option<Candidate>),
+    /// Content of `Scope::Duty`.
     Duty(Box<DutySlice>),
+    /// Content of `Scope::Service`.
     Service(Box<ServiceSlice>),
+    /// The service is no longer in the configuration.
     Gone,
 }
 
-/// What a request is admitted by: the routes and the tenants of one configuration.
+/// What requests are admitted by: the routes and the tenants of one configuration.
 #[derive(Clone, PartialEq, Debug, Default, Encode, Decode)]
 pub struct RoutesSlice {
+    /// The routes, in the order of [`route_rows`].
     pub rows: Vec<RouteRow>,
+    /// The tenants.
     pub tenants: Vec<Tenant>,
 }
 
+/// What the holder of the placement duty needs.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct DutySlice {
+    /// The configuration, without its source and tenants.
     pub config: FleetConfig,
+    /// The version at which it came into force.
     pub config_version: Version,
+    /// The plans that run or are proposed.
     pub plans: Vec<PlacementPlan>,
+    /// The operator's call that asks for a plan.
     pub plan_ask: Option<ChangeId>,
+    /// Who holds the duty.
     pub duty: Option<Duty>,
+    /// All runners.
     pub runners: Vec<Runner>,
+    /// The moves that have not ended, and those of running plans.
     pub moves: Vec<MovePlan>,
 }
 
+/// A route and the service to which it belongs.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct RouteRow {
+    /// The service.
     pub service: Name,
+    /// The route.
     pub route: Route,
 }
 
+/// What a router needs to handle the requests of one service.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct ServiceSlice {
+    /// The version at which the configuration came into force.
     pub config_version: Version,
+    /// The service.
     pub service: Service,
+    /// Its models.
     pub models: Vec<Model>,
+    /// Its adapters.
     pub adapters: Vec<Adapter>,
+    /// The limits on loads.
     pub store: Store,
+    /// Its retry budget.
     pub budget: Budget,
+    /// The limits for moves.
     pub moving: Moving,
+    /// Its runners.
     pub runners: Vec<Runner>,
+    /// Its moves that have not ended.
     pub moves: Vec<MovePlan>,
+    /// The term of the placement duty; 0 before the first.
     pub duty: Term,
+    /// The limits on requests.
     pub limits: Limits,
 }
 
 impl FleetState {
+    /// The content of a topic.
     pub fn slice(&self, scope: &Scope) -> Slice {
         match scope {
             Scope::Routes => Slice::Routes(RoutesSlice::of(&self.config)),
@@ -99,6 +133,7 @@
     }
 }
 
+/// All routes, longest prefix first, and at equal length those that name a host first.
 pub fn route_rows(c: &FleetConfig) -> Vec<RouteRow> {
     let mut rows = Vec::new();
     for s in &c.services {
@@ -108,6 +143,7 @@
     rows
 }
 
+/// The part of a service's slice that comes from the configuration; runners, moves and term are empty.
 pub fn service_slice(c: &FleetConfig, service: &Service) -> ServiceSlice {
     ServiceSlice {
         config_version: Version(0),
@@ -124,6 +160,7 @@
     }
 }
 
+/// The first route that matches; a slow equivalent of [`super::routes::RouteTable::find`].
 pub fn route_match<'a>(rows: &'a [RouteRow], host: &str, path: &str) -> Option<&'a RouteRow> {
     rows.iter().find(|r| {
         let tail = path.strip_prefix(r.route.prefix.as_str());
@@ -133,6 +170,8 @@
 }
 
 impl Slice {
+    /// The version of the configuration and a hash that is equal for equal content; only of routes and
+    /// services.
     pub fn fingerprint(&self) -> (Version, u64) {
         match self {
             Slice::Routes(routes) => (Version(0), routes.fingerprint()),
@@ -143,24 +182,26 @@
 }
 
 impl RoutesSlice {
-    /// What routers admit requests by under this configuration.
+    /// The routes and tenants of a configuration.
     pub fn of(config: &FleetConfig) -> RoutesSlice {
         RoutesSlice { rows: route_rows(config), tenants: config.tenants.to_vec() }
     }
 
-    /// A number that is equal for equal content.
+    /// A hash that is equal for equal content.
     pub fn fingerprint(&self) -> u64 {
         hash(&format!("{self:?}"), 1)
     }
 }
 
 impl ServiceSlice {
+    /// How long the model or adapter of this name takes to load; a second if it is unknown.
     pub fn load_ms(&self, name: &Name) -> u64 {
         let model = self.models.iter().find(|m| m.name == *name).map(|m| m.load_ms);
         let found = model.or_else(|| self.adapters.iter().find(|a| a.name == *name).map(|a| a.load_ms));
         found.unwrap_or(1000)
     }
 
+    /// A hash of the parts that come from the configuration.
     pub fn fingerprint(&self) -> u64 {
         let parts = (&self.service, &self.adapters, &self.budget, &self.moving, &self.limits);
         hash(&format!("{parts:?}"), 2)
--- a/src/fleet/state.rs
+++ b/src/fleet/state.rs
@@ -1,200 +1,157 @@
+//! The replicated state of a fleet, and lookups in it.
+
+pub use super::change::*;
 use super::config::FleetConfig;
 pub use super::duty::Duty;
-use super::ledger::{LedgerEntry, OrderLedger};
+use super::ledger::{ChangeLedger, LedgerEntry};
 pub use super::outcome::{Decision, Outcome, OutcomeCode};
-use super::plan::{PlacementPlan, PlanState};
+use super::plan::PlacementPlan;
 use super::runner::Runner;
 use crate::kernel::ids::*;
 use bitcode::{Decode, Encode};
 use std::collections::BTreeMap;
 
-#[derive(Clone, PartialEq, Debug, Encode, Decode)]
-pub enum Change {
-    Propose {
-        id: ChangeId,
-        base: Version,
-        config: Box<FleetConfig>,
-    },
-    Adopt {
-        id: ChangeId,
-        base: u64,
-        config: Box<FleetConfig>,
-        stages: Vec<StageFigure>,
-    },
-    /// An operator's order that must not be taken any more, unless it was taken or its base came before this.
-    Refuse {
-        id: ChangeId,
-        base: Option<u64>,
-        last_revision: u64,
-        code: OutcomeCode,
-        text: String,
-    },
-    Settle {
-        id: ChangeId,
-        verdict: Verdict,
-        stages: Vec<StageFigure>,
-    },
-    Runners {
-        id: ChangeId,
-        list: Vec<Runner>,
-    },
-    Leaving {
-        id: ChangeId,
-        instance: Name,
-    },
-    Duty {
-        holder: NodeId,
-    },
-    /// The holder of this term has waited out its predecessor and orders from now on.
-    DutyBegun {
-        term: Term,
-    },
-    Move {
-        id: ChangeId,
-        plan: MovePlan,
-    },
-    Plan {
-        term: Term,
-        plan: PlacementPlan,
-        asked: Option<ChangeId>,
-    },
-    PlanAsk {
-        id: ChangeId,
-    },
-    Accept {
-        id: ChangeId,
-        at: Version,
-    },
-    PlanStage {
-        id: PlanId,
-        term: Term,
-        state: PlanState,
-        figure: StageFigure,
-    },
-    Step {
-        id: MoveId,
-        term: Term,
-        phase: Phase,
-        why: String,
-        stage: Option<StageFigure>,
-    },
-}
-
-/// What a route takes in memory and on the disk besides its share of the document, as measured.
-const ROUTE_BYTES: usize = 160;
-/// What any change takes.
-const CHANGE_BYTES: usize = 1024;
-
-impl Change {
-    /// About the bytes that this change takes in memory; on the disk and on the wire it takes less.
-    pub fn size_estimate(&self) -> usize {
-        match self {
-            Change::Propose { config, .. } | Change::Adopt { config, .. } => {
-                CHANGE_BYTES + config.size_estimate()
-            }
-            Change::Runners { list, .. } => CHANGE_BYTES + list.len() * ROUTE_BYTES,
-            _ => CHANGE_BYTES,
-        }
-    }
-}
-
-impl FleetConfig {
-    /// About the bytes that this configuration takes in memory.
-    pub fn size_estimate(&self) -> usize {
-        let routes: usize = self.services.iter().map(|s| s.routes.len()).sum();
-        self.source.len() + (routes + self.models.len() + self.adapters.len()) * ROUTE_BYTES
-    }
-}
-
+/// The result of a rehearsal.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum Verdict {
+    /// The candidate takes effect.
     Commit,
+    /// The candidate is refused, for this reason.
     Refuse(String),
 }
 
+/// What a stage of a change, plan or move took.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct StageFigure {
+    /// The stage.
     pub name: String,
+    /// The time it took.
     pub ms: u64,
+    /// The time it was allowed.
     pub ms_allowed: u64,
+    /// The attempts it took.
     pub tries: u64,
+    /// The attempts it was allowed.
     pub tries_allowed: u64,
+    /// Remarks for operators.
     pub note: String,
 }
 
+/// The phase of a move.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Encode, Decode)]
 pub enum Phase {
+    /// The destination loads the model.
     Load,
+    /// Streams are handed over to the destination.
     Warm,
+    /// The source unloads the model.
     Unload,
+    /// The source loads what it is to hold instead.
     Want,
+    /// The move has ended.
     Done,
+    /// The move was given up.
     Stopped,
 }
 
+/// A move of a model from one runner to another.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct MovePlan {
+    /// Its id.
     pub id: MoveId,
+    /// The service of both runners.
     pub service: Name,
+    /// The model or adapter that moves.
     pub model: Name,
+    /// The source.
     pub from: Name,
+    /// The destination.
     pub to: Name,
+    /// What the source loads afterwards; empty for nothing.
     pub want: Name,
+    /// The current phase.
     pub phase: Phase,
+    /// Why it entered this phase.
     pub why: String,
+    /// What the phases so far took.
     pub stages: Vec<StageFigure>,
 }
 
+/// A configuration under rehearsal.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct Candidate {
+    /// The change that proposed it.
     pub id: ChangeId,
+    /// The version of the last change that was applied.
     pub at: Version,
+    /// The configuration.
     pub config: Box<FleetConfig>,
 }
 
+/// A part of the state that is distributed by itself, as a topic.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug, Encode, Decode)]
 pub enum Scope {
+    /// The routes and the tenants.
     Routes,
+    /// The configuration under rehearsal.
     Candidate,
+    /// What the holder of the placement duty needs.
     Duty,
+    /// One service with its runners.
     Service(Name),
 }
 
+/// The replicated state.
 #[derive(Clone, PartialEq, Debug, Default, Encode, Decode)]
 pub struct FleetState {
+    /// The version: the number of changes that were applied.
     pub at: Version,
+    /// The configuration in force.
     pub config: FleetConfig,
+    /// The version at which it came into force.
     pub config_version: Version,
+    /// The configuration under rehearsal.
     pub candidate: Option<Candidate>,
+    /// The list of runners.
     pub runners: Vec<Runner>,
+    /// Who holds the placement duty.
     pub duty: Option<Duty>,
+    /// The moves, oldest first, ended ones included.
     pub moves: Vec<MovePlan>,
+    /// The placement plans, oldest first, ended ones included.
     pub plans: Vec<PlacementPlan>,
+    /// The operator's call that asks for a plan and has none yet.
     pub plan_ask: Option<ChangeId>,
-    /// The ends of operators' changes, oldest first.
+    /// The outcomes of operators' changes, oldest first.
     pub outcomes: Vec<Outcome>,
-    /// The ends of the fleet's own changes, oldest first.
+    /// The outcomes of the fleet's own changes, oldest first.
     pub internal_outcomes: Vec<Outcome>,
-    pub ledger: OrderLedger,
+    /// Operators' changes that were taken or refused.
+    pub ledger: ChangeLedger,
+    /// The version at which each scope last changed.
     pub touched: BTreeMap<Scope, Version>,
 }
 
-pub const OUTCOMES: usize = 512;
-pub const INTERNAL_OUTCOMES: usize = 256;
-pub const MOVES: usize = 64;
+/// How many outcomes of operators' changes are kept.
+pub const MAX_OUTCOMES: usize = 512;
+/// How many outcomes of the fleet's own changes are kept.
+pub const MAX_INTERNAL_OUTCOMES: usize = 256;
+/// How many moves are kept.
+pub const MAX_MOVES: usize = 64;
 
 impl FleetState {
+    /// The outcome of a change, if it is still kept.
     pub fn outcome(&self, id: ChangeId) -> Option<&Outcome> {
         let rows = if id.is_operators() { &self.outcomes } else { &self.internal_outcomes };
         rows.iter().rev().find(|o| o.id == id)
     }
 
-    /// The end of the operator's change of that name.
+    /// The outcome of the change of that name, if it is still kept.
     pub fn outcome_named(&self, name: u128) -> Option<&Outcome> {
         self.outcomes.iter().chain(&self.internal_outcomes).rev().find(|o| o.id.name == name)
     }
 
-    /// What is known for good of a change: its end, or what the ledger remembers of it.
+    /// What is final about a change: its outcome, or what the ledger remembers of it.
     pub fn decision(&self, id: ChangeId) -> Option<Decision<'_>> {
         if let Some(outcome) = self.outcome(id) {
             return Some(Decision::Outcome(outcome));
@@ -205,26 +162,32 @@
         self.ledger.find(id).map(Decision::Ledger)
     }
 
+    /// The runner of this name.
     pub fn runner(&self, name: &Name) -> Option<&Runner> {
         self.runners.iter().find(|r| r.instance == *name)
     }
 
+    /// The moves that have not ended.
     pub fn active_moves(&self) -> impl Iterator<Item = &MovePlan> {
         self.moves.iter().filter(|m| m.is_active())
     }
 
+    /// The version at which the scope last changed.
     pub fn scope_at(&self, scope: &Scope) -> Version {
         self.touched.get(scope).copied().unwrap_or_default()
     }
 }
 
 impl MovePlan {
+    /// Whether the moves can't run at the same time: they share a runner, unless they move different models
+    /// and neither source loads anything afterwards.
     pub fn conflicts_with(&self, other: &MovePlan) -> bool {
         let shared = [&self.from, &self.to].into_iter().any(|r| *r == other.from || *r == other.to);
         let both_leave = self.want.0.is_empty() && other.want.0.is_empty() && self.model != other.model;
         shared && !both_leave
     }
 
+    /// Whether it has not ended.
     pub fn is_active(&self) -> bool {
         !matches!(self.phase, Phase::Done | Phase::Stopped)
     }
--- a/src/fleet/tenant_format.rs
+++ b/src/fleet/tenant_format.rs
@@ -1,6 +1,7 @@
 //! Tenants in the product's own configuration format.
 //!
-//! A key is written as itself, or as `digest:` and its digest in hexadecimal digits. It is only ever shown as the latter.
+//! A key is written as itself, or as `digest:` and its digest in hexadecimal digits. It is only ever shown as
+//! a digest.
 #![deny(missing_docs)]
 
 use super::tenants::{KeyDigest, QuotaLimit, Tenant};
@@ -11,12 +12,12 @@
 use std::collections::BTreeSet;
 
 const DIGEST_MARK: &str = "digest:";
-/// Thousandths of a request per second that a quota may allow.
+/// The highest rate of a quota, in thousandths of a request per second.
 const RATE_MILLI_MOST: u64 = 1_000_000_000_000;
 const BURST_MOST: u64 = 1_000_000_000;
 const PRIORITY_MOST: u64 = 255;
 
-/// Reads one tenant of the list.
+/// Reads one tenant of the list, and adds its faults to `bad`.
 pub fn read(place: usize, tree: &Tree, bad: &mut Vec<Fault>) -> Tenant {
     let mut reader = Reader::new(&format!("tenants[{place}]"), tree);
     let name = Name(reader.name("name"));
@@ -67,7 +68,7 @@
 }
 
 impl Tenant {
-    /// The tenant as operators see it: its keys as digests.
+    /// The tenant as operators see it, with its keys as digests.
     pub fn tree(&self) -> Tree {
         let keys = self.keys.iter().map(|key| Tree::from(format!("{DIGEST_MARK}{}", key.to_hex())));
         let mut rows = vec![("name", self.name.0.as_str().into()), ("keys", keys.collect::<Vec<_>>().into())];
--- a/src/fleet/tenants.rs
+++ b/src/fleet/tenants.rs
@@ -1,6 +1,6 @@
-//! Tenants: who may send requests, how urgent theirs are, and how many they may send.
+//! Tenants: who may send requests, how urgent these are, and how many there may be.
 //!
-//! Keys are kept as digests only, so that no state, log or message holds one.
+//! Keys are kept as digests only, so that no state, log or message contains one.
 #![deny(missing_docs)]
 
 use super::named::Named;
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What separates the digest of a key from those of documents.
+/// Separates the digests of keys from those of documents.
 const KEY_DOMAIN: &[u8] = b"tenant key";
 
 /// The digest of a tenant's key.
@@ -22,12 +22,12 @@
         KeyDigest(DocumentDigest::of(&[KEY_DOMAIN, key]))
     }
 
-    /// The digest as operators may read and write it.
+    /// The digest as operators read and write it.
     pub fn to_hex(&self) -> String {
         self.0.to_hex()
     }
 
-    /// Reads what `to_hex` writes.
+    /// Parses what `to_hex` writes; `None` if the text is anything else.
     pub fn from_hex(text: &str) -> Option<KeyDigest> {
         DocumentDigest::from_hex(text).map(KeyDigest)
     }
@@ -36,7 +36,7 @@
 /// How many requests a tenant may make, counted over all nodes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Encode, Decode)]
 pub struct QuotaLimit {
-    /// Thousandths of a request per second.
+    /// The rate, in thousandths of a request per second.
     pub rate_milli: u64,
     /// Requests above the rate.
     pub burst: u64,
@@ -49,9 +49,9 @@
     pub name: Name,
     /// The digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// Its rank, 0 first; it goes before that of the route.
+    /// Its rank, 0 being the most urgent; it takes precedence over the class of the route.
     pub priority: Option<u64>,
-    /// Its quota; none is no limit.
+    /// Its quota; `None` means no limit.
     pub quota: Option<QuotaLimit>,
 }
 
@@ -74,12 +74,13 @@
         self.count == 0
     }
 
-    /// The tenant that holds the key. Only digests are compared, so the time it takes tells nothing of a key.
+    /// The tenant that owns the key. Only digests are compared, so the time it takes reveals nothing about
+    /// a key.
     pub fn owner(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
 
-    /// What a request with this key is admitted by, if some tenant holds the key.
+    /// What a request with this key is admitted by; `None` if no tenant owns the key.
     pub fn credential(&self, key: KeyDigest) -> Option<Credential> {
         let tenant = self.owner(&key)?.clone();
         Some(Credential { key, tenant })
@@ -99,23 +100,24 @@
     }
 }
 
-/// What a request was admitted by: the digest of its key, and the tenant that held the key then.
+/// What a request was admitted by.
 #[derive(Clone, Debug)]
 pub struct Credential {
     /// The digest of the key.
     pub key: KeyDigest,
-    /// Its owner.
+    /// The tenant that owned the key then.
     pub tenant: Arc<Tenant>,
 }
 
-/// How urgent the requests of a tenant are, before the class of their route; 0 is first.
+/// How urgent a tenant's requests are, 0 being the most urgent; it takes precedence over the class of their
+/// route.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct TenantRank(pub u8);
 
 impl TenantRank {
     /// The rank of all requests where there are no tenants.
     pub const FIRST: TenantRank = TenantRank(0);
-    /// The rank of a tenant without one of its own, and of requests without a tenant.
+    /// The rank of a tenant without a priority, and of requests without a tenant.
     pub const UNRANKED: TenantRank = TenantRank(1);
 }
 
--- a/src/kernel/disk.rs
+++ b/src/kernel/disk.rs
@@ -1,4 +1,4 @@
-//! What a controller needs of its disk: a list of records that survives a loss of power.
+//! The disk interface of a controller: a list of records that survives a power loss.
 #![deny(missing_docs)]
 
 use super::fault::Fault;
@@ -7,21 +7,23 @@
 pub use super::folder::SystemFolder;
 pub use super::log_file::LogFile;
 
-/// A durable list of records. Each call that returns without a fault has reached the disk.
+/// A durable list of records. What a call wrote is on the disk when the call returns without a fault.
 pub trait Disk: Send {
-    /// Reads the records back, and drops what an unfinished write has left behind.
+    /// Reads the records back, and discards what an unfinished write left behind.
     ///
-    /// A damaged file is a fault of [`super::fault::Kind::Damage`]: it is neither changed nor read from.
+    /// # Errors
+    ///
+    /// A damaged file is a fault of [`super::fault::Kind::Damage`]; it is neither changed nor read from.
     fn load(&mut self) -> Result<Vec<Record>, Fault>;
-    /// Appends the records: after a loss of power either all of them are there or none.
+    /// Appends the records: after a power loss either all of them are there or none.
     fn add(&mut self, records: &[Record]) -> Result<(), Fault>;
-    /// Puts the records in the place of all earlier ones: after a loss of power either these or those are there.
+    /// Replaces all earlier records: after a power loss either the new ones are there or the earlier ones.
     fn rewrite(&mut self, records: &[Record]) -> Result<(), Fault>;
-    /// Keeps a damaged file under another name, which it returns, and goes on with an empty one.
+    /// Renames a damaged file, returns its new name, and continues with an empty one.
     fn set_aside(&mut self) -> Result<String, Fault>;
-    /// The bytes that are free on the disk.
+    /// The free bytes on the disk.
     fn room(&self) -> u64;
-    /// The bytes that the current file takes.
+    /// The bytes of the current file.
     fn len(&self) -> u64;
     /// Whether nothing has been written yet.
     fn is_empty(&self) -> bool {
--- a/src/kernel/event.rs
+++ b/src/kernel/event.rs
@@ -1,4 +1,5 @@
-//! What enters a node, what its components tell each other, and what leaves it.
+//! The interfaces of a node: the events that it handles, the events that its components publish to each
+//! other, and the effects that it asks its driver for.
 
 use crate::chain::leaving::Departure;
 use crate::chain::messages::{ChainRole, Record};
@@ -18,126 +19,200 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the components of a node tell each other; views are derived from it.
+/// An event that a component publishes. The other components handle it in the same step, and
+/// [`super::component::Views`] is derived from these events.
 #[derive(Clone, Debug)]
 pub enum JournalEvent {
+    /// This node now belongs to the fleet.
     Fleet(FleetId),
+    /// The membership changed.
     Members(Arc<Vec<MemberRow>>),
+    /// Another node told of this chain view.
     ViewHeard(View),
+    /// This node, as a member of the chain, works under this view.
     ViewInstalled(View),
+    /// This node has a full copy of the state and is ready in the view.
     MemberReady(ViewNo),
+    /// A change was committed.
     Committed {
+        /// The version that it made.
         at: Version,
+        /// The change.
         change: Arc<Change>,
     },
+    /// The state was replaced as a whole, by a snapshot or from disk.
     StateLoaded(Arc<FleetState>),
+    /// A component of this node submits a change to the head.
     Submitted(Arc<Change>),
+    /// The role of this node in the chain changed.
     Role(ChainRole),
-    /// This node has installed the first view of a new fleet: no other tail was there before.
+    /// This node installed the first view of a new fleet; there was no earlier tail.
     Founded,
     /// Changes up to this version may be acknowledged (see `chain::serving_leases`).
     Released(Version),
+    /// An operator or the list marked the runner as leaving.
     RunnerMarked(Name),
+    /// A log event: its name and its text.
     Text(&'static str, String),
 }
 
-/// What a node reacts to.
+/// An input of a node.
 #[derive(Clone, Debug)]
 pub enum Event {
+    /// The node starts.
     Start,
-    /// The timed work that others wait for: heartbeats, leases, pings. Never held up by anything that waits.
+    /// Timed work that other nodes depend on: heartbeats, leases, pings. It has its turn even while other
+    /// inputs wait.
     Tick,
-    /// The timed work of the duties (rollout, placement), done between more urgent inputs.
+    /// Timed work of rollout and placement; more urgent inputs go first.
     DutyTick,
+    /// A message from another node.
     Message {
+        /// The sender.
         from: NodeId,
+        /// The sender's fleet.
         fleet: FleetId,
+        /// The payload.
         msg: Msg,
     },
+    /// An operator asked this node for a change.
     OperatorCall {
+        /// Identifies the call in the answer.
         id: ChangeId,
+        /// What is asked for.
         op: OperatorCall,
     },
+    /// An operator asked this node for a read.
     ReadCall {
+        /// Identifies the call in the answer.
         id: ChangeId,
+        /// What is read, as in the admin interface after `/v1/`.
         path: String,
     },
+    /// A runner was polled.
     RunnerReport {
+        /// The runner.
         instance: Name,
+        /// Its report; `None` if it gave none.
         report: Option<RunnerReport>,
     },
+    /// A runner answered an order to load or unload.
     OrderAnswered {
+        /// The order.
         order: OrderId,
+        /// The HTTP status; 0 if no answer came.
         status: u16,
     },
+    /// What this node's own router reports.
     RouterState(Arc<RouterReport>),
+    /// The list of runners was read.
     RunnersListed(RunnerListing),
+    /// A request on this node waits for a model or adapter that no runner holds.
     NameWanted(UnmetDemand),
+    /// The router of this node needs quota tokens.
     QuotaWanted(QuotaDemand),
+    /// The process is about to stop; the node hands over its duties.
     StopAnnounced,
+    /// A component of this node published an event.
     Journal(JournalEvent),
 }
 
 /// An order to a runner to load or unload, under the term of the placement duty.
 #[derive(Clone, Debug)]
 pub struct RunnerOrder {
+    /// Identifies the order.
     pub order: OrderId,
+    /// The term of the sender; runners refuse orders of older terms.
     pub term: Term,
+    /// The runner.
     pub runner: Runner,
+    /// Whether to load; otherwise to unload.
     pub load: bool,
+    /// The model or adapter.
     pub name: Name,
+    /// Whether `name` is an adapter.
     pub adapter: bool,
-    /// How many orders the runner has taken as far as this one's sender knows; it is void if that is no longer so.
+    /// The number of orders that the runner has accepted, as known to the sender; the runner refuses the
+    /// order if the number differs.
     pub expected: u64,
+    /// The runner must not start the order after this time.
     pub due: Time,
 }
 
 /// What a node asks its driver (daemon, simulator or explorer) to do.
 #[derive(Clone, Debug)]
 pub enum Effect {
+    /// Send a message to a member.
     Send {
+        /// The receiver.
         to: NodeId,
+        /// The payload.
         msg: Msg,
     },
+    /// Send a message to an address whose node is not known.
     SendAt {
+        /// The address.
         addr: SocketAddr,
+        /// The payload.
         msg: Msg,
     },
+    /// Append the record to the disk.
     Save(Record),
+    /// Replace all records on the disk.
     Rewrite(Vec<Record>),
+    /// Discard the node's state and start it anew, for this reason.
     Reset(String),
+    /// Answer an operator's call.
     Answer {
+        /// The call.
         id: ChangeId,
+        /// The answer.
         answer: Answer,
     },
+    /// Send an order to a runner.
     OrderRunner(RunnerOrder),
+    /// The number of routers that report, for the metrics.
     RouterCount(u64),
+    /// Poll the reports of these runners from now on, and of no others.
     PollRunners(Vec<Runner>),
+    /// Whether this node holds the placement duty, and so polls the list of runners.
     HoldsDuty(bool),
-    /// The list of runners is to be read once, now.
+    /// Read the list of runners once, now.
     ReadList,
+    /// Poll the report of this runner once, now.
     PollRunner(Name),
+    /// Give this node's router what the runners hold.
     Holdings(Vec<RunnerHoldings>),
+    /// Tell this node's router that the runner is leaving.
     RunnerLeaving(Name),
+    /// Whether this controller is ready, for the readiness probe.
     Ready(bool),
-    /// These topics may be served by until then, without a newer proof.
+    /// The router may serve by these topics until then without a newer proof of freshness.
     ServingLease {
+        /// The topics.
         scopes: Vec<Scope>,
+        /// The end of the lease.
         until: Time,
     },
+    /// How far the departure from the chain has come, for a process that is about to stop.
     Leaving(Departure),
-    /// Owners of quotas have answered.
+    /// Answers of quota owners, for this node's router.
     QuotaGranted(Vec<Grant>),
+    /// Give this node's router the state of a topic.
     Topic {
+        /// The topic.
         scope: Scope,
+        /// Its version.
         at: Version,
+        /// Its content, if it is new.
         slice: Option<Slice>,
+        /// When this version was known to be the newest.
         proven: Time,
     },
 }
 
 impl Event {
-    /// Its kind, for figures; messages by their own kind.
+    /// The kind of this input in step times and simulator figures; messages by their own kind.
     pub fn kind(&self) -> &'static str {
         match self {
             Event::Start => "start",
@@ -159,6 +234,7 @@
 }
 
 impl JournalEvent {
+    /// Name and text, if this is a log event.
     pub fn text(&self) -> Option<(&'static str, String)> {
         match self {
             JournalEvent::Text(what, text) => Some((what, text.clone())),
--- a/src/kernel/fault.rs
+++ b/src/kernel/fault.rs
@@ -1,27 +1,41 @@
+//! Errors that an operator reads: where, what, and the remedy.
+
 use std::fmt;
 
+/// The kind of a fault.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Kind {
+    /// The configuration or the settings are invalid.
     Config,
+    /// The disk can't be read or written.
     Disk,
-    /// What was kept on the disk is damaged.
+    /// Data on the disk is damaged.
     Damage,
-    /// What was kept on the disk was written in a format that this release does not know.
+    /// Data on the disk has a format that this release does not know.
     Format,
+    /// An address or a connection can't be used.
     Net,
+    /// A command was called with wrong arguments.
     Usage,
+    /// A frame or a message from the network is malformed.
     Wire,
 }
 
+/// An error with its place and remedy.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Fault {
+    /// Its kind.
     pub kind: Kind,
+    /// Where it occurred: a file, an address or a path in a document.
     pub place: String,
+    /// What is wrong.
     pub what: String,
+    /// What the operator can do about it.
     pub remedy: String,
 }
 
 impl Fault {
+    /// A fault of this kind.
     pub fn new(
         kind: Kind,
         place: impl Into<String>,
--- a/src/kernel/folder.rs
+++ b/src/kernel/folder.rs
@@ -1,37 +1,37 @@
-//! The few operations on files that [`super::log_file::LogFile`] is made of, so that the same code runs on the
-//! machine's disk and on a simulated one that loses what was not synced.
+//! The file operations that [`super::log_file::LogFile`] is built on, so that the same code runs on a real
+//! disk and on a simulated one that loses what was not synced.
 #![deny(missing_docs)]
 
 use std::fs::{File, OpenOptions};
 use std::io::{Error, ErrorKind, Read, Result, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files. Nothing lasts through a loss of power before it is synced: the bytes of a file by
-/// [`Folder::sync_file`], and names that were made, changed or removed by [`Folder::sync_folder`].
+/// A folder of files. Nothing survives a power loss before it is synced: the bytes of a file by
+/// [`Folder::sync_file`]; created, renamed and removed names by [`Folder::sync_folder`].
 pub trait Folder: Send {
-    /// Where the folder is, for messages.
+    /// Where the folder is, for error messages.
     fn place(&self) -> String;
     /// The names of all files.
     fn names(&self) -> Result<Vec<String>>;
     /// The whole content of a file.
     fn read(&mut self, name: &str) -> Result<Vec<u8>>;
-    /// Writes the bytes at an offset; the file is made if it is not there.
+    /// Writes the bytes at an offset; creates the file if it does not exist.
     fn write(&mut self, name: &str, at: u64, bytes: &[u8]) -> Result<()>;
-    /// Cuts a file to a length.
+    /// Truncates a file to a length.
     fn set_len(&mut self, name: &str, len: u64) -> Result<()>;
     /// Waits until the bytes of a file are on the disk.
     fn sync_file(&mut self, name: &str) -> Result<()>;
-    /// Waits until the names of the folder are on the disk.
+    /// Waits until the names in the folder are on the disk.
     fn sync_folder(&mut self) -> Result<()>;
-    /// Gives a file another name.
+    /// Renames a file.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> Result<()>;
-    /// The bytes that are free on the disk.
+    /// The free bytes on the disk.
     fn room(&self) -> u64;
 }
 
-/// A folder on the machine's own disk. The file that was written last stays open.
+/// A folder on a real disk. Keeps the last used file open.
 pub struct SystemFolder {
     path: PathBuf,
     folder: File,
@@ -39,7 +39,7 @@
 }
 
 impl SystemFolder {
-    /// Makes the folder if it is not there.
+    /// Opens the folder; creates it if it does not exist.
     pub fn open(path: &Path) -> Result<SystemFolder> {
         std::fs::create_dir_all(path)?;
         let folder = File::open(path)?;
--- a/src/kernel/ids.rs
+++ b/src/kernel/ids.rs
@@ -1,4 +1,4 @@
-//! Typed numbers and names.
+//! Ids, versions and names as distinct types.
 
 pub use super::change_id::{ChangeId, DocumentDigest};
 use bitcode::{Decode, Encode};
@@ -6,6 +6,7 @@
 
 macro_rules! small {
     ($($name:ident, $mark:literal);* $(;)?) => {$(
+        /// A number that is written as its mark and hexadecimal digits.
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Encode, Decode)]
         pub struct $name(pub u64);
         impl fmt::Display for $name {
@@ -14,10 +15,12 @@
             }
         }
         impl $name {
+            /// Parses what `Display` writes, also without the mark; `None` if the text is not a number.
             pub fn parse(text: &str) -> Option<$name> {
                 let bare = text.strip_prefix($mark).unwrap_or(text);
                 u64::from_str_radix(bare, 16).ok().map($name)
             }
+            /// The next number.
             pub fn next(self) -> $name {
                 $name(self.0 + 1)
             }
@@ -37,12 +40,16 @@
     PlanId, "p";
 }
 
+/// The number of an attempt to decide a chain view; unique for each attempt, because it names the node.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Encode, Decode)]
 pub struct Ballot {
+    /// Rises with each attempt.
     pub round: u64,
+    /// The node that makes the attempt.
     pub node: NodeId,
 }
 
+/// The name of a model, adapter, service, runner, tenant or zone.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Encode, Decode)]
 pub struct Name(pub String);
 
--- a/src/kernel/input_queue.rs
+++ b/src/kernel/input_queue.rs
@@ -1,18 +1,19 @@
-//! The inputs that wait for a node, in lanes: the most urgent first, in order within a lane.
+//! The inputs that wait for a node, in lanes: the most urgent lane first, and in order of arrival within a
+//! lane.
 //!
-//! A lane that is never empty would keep those behind it waiting for good, so each of them gets a turn after
-//! `TURNS` inputs of the lanes before; only the chain's lane, which few senders fill, is always first.
+//! A lane that is never empty would starve those behind it, so each of these gets a turn after [`TURNS`]
+//! inputs of the lanes before it. Only the chain's lane, which few senders fill, always goes first.
 #![deny(missing_docs)]
 
 use super::lanes::{Class, LANES, Lane, Slot};
 use super::time::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After how many serving inputs a lane behind them gets its turn.
+/// The number of serving inputs after which a lane behind them gets a turn.
 pub const TURNS: u32 = 32;
-/// For how many serving inputs one of the duties counts: its steps are long.
+/// The number of serving inputs that one input of the duty lane counts for: its steps are long.
 const WEIGHT_OF_DUTY: u32 = 8;
-/// How many inputs may wait in one lane of a node; beyond that the oldest that may be lost is dropped.
+/// The number of inputs that may wait in one lane; beyond it the oldest droppable one is dropped.
 pub const LANE_LIMIT: usize = 2048;
 
 struct Waiting<T> {
@@ -32,36 +33,36 @@
     replaced: u64,
 }
 
-/// What a lane looks like.
+/// The state of a lane.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct LaneState {
-    /// How many inputs wait.
+    /// The number of waiting inputs.
     pub length: usize,
     /// How long the first of them has waited.
     pub oldest: Span,
-    /// How long the longest wait of the interval was.
+    /// The longest wait of the current interval.
     pub longest: Span,
-    /// How many were dropped since the start.
+    /// The number of inputs dropped since the start.
     pub dropped: u64,
-    /// How many gave their place to a newer one.
+    /// The number of inputs replaced by a newer one since the start.
     pub replaced: u64,
 }
 
-/// An input whose turn it is.
+/// The input whose turn it is.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Next<T> {
     /// The input.
     pub item: T,
-    /// The lane it waited in.
+    /// The lane in which it waited.
     pub lane: Lane,
-    /// For how long.
+    /// How long it waited.
     pub waited: Span,
 }
 
 /// The inputs that wait for one node.
 pub struct InputQueue<T> {
     lanes: [LaneQueue<T>; LANES.len()],
-    /// How many inputs of more urgent lanes were served since each lane had its turn, by weight.
+    /// For each lane, the weight of the more urgent inputs served since its last turn.
     passed_over: [u32; LANES.len()],
 }
 
@@ -136,17 +137,17 @@
 }
 
 impl<T> InputQueue<T> {
-    /// A queue of which each lane drops what may be lost beyond `limit` inputs.
+    /// A queue whose lanes drop droppable inputs beyond `limit`.
     pub fn limited(limit: usize) -> InputQueue<T> {
         InputQueue { lanes: LANES.map(|_| LaneQueue::new(limit)), passed_over: [0; LANES.len()] }
     }
 
-    /// Queues an input that came at `now`.
+    /// Queues an input that arrived at `now`.
     pub fn add(&mut self, now: Time, class: Class, item: T) {
         self.lanes[class.lane as usize].add(now, class, item);
     }
 
-    /// The input whose turn it is.
+    /// Removes and returns the input whose turn it is.
     pub fn pop(&mut self, now: Time) -> Option<Next<T>> {
         let lane = self.turn()?;
         let (item, waited) = self.lanes[lane as usize].pop(now)?;
@@ -166,22 +167,22 @@
             .for_each(|passed| *passed = passed.saturating_add(weight));
     }
 
-    /// Whether nothing waits.
+    /// Whether no input waits.
     pub fn is_empty(&self) -> bool {
         self.lanes.iter().all(|lane| lane.rows.is_empty())
     }
 
-    /// How many were dropped since the start.
+    /// The number of inputs dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.lanes.iter().map(|lane| lane.dropped).sum()
     }
 
-    /// What each lane looks like.
+    /// The state of each lane.
     pub fn state(&self, now: Time) -> [(Lane, LaneState); LANES.len()] {
         LANES.map(|lane| (lane, self.lanes[lane as usize].state(now)))
     }
 
-    /// The longest waits are counted anew.
+    /// Starts a new interval for the longest waits.
     pub fn new_interval(&mut self) {
         self.lanes.iter_mut().for_each(|lane| lane.longest = Span(0));
     }
--- a/src/kernel/journal.rs
+++ b/src/kernel/journal.rs
@@ -1,9 +1,13 @@
+//! The recent events of a node, for its status and for the simulator.
+
 use super::time::Time;
 use crate::msg::JournalEvent;
 use std::collections::VecDeque;
 
+/// How many events are kept.
 pub const KEEP: usize = 4096;
 
+/// A bounded list of numbered events.
 #[derive(Default)]
 pub struct Journal {
     rows: VecDeque<(u64, Time, JournalEvent)>,
@@ -11,7 +15,8 @@
 }
 
 impl Journal {
-    /// Counts an event, and keeps it unless it carries state: hundreds of whole configurations would not fit.
+    /// Numbers an event, and keeps it unless it carries state: hundreds of whole configurations would not
+    /// fit into memory.
     pub fn add(&mut self, now: Time, note: JournalEvent) -> u64 {
         let at = self.next;
         self.next += 1;
@@ -36,10 +41,12 @@
         self.rows.len()
     }
 
+    /// How many events were added since the start.
     pub fn len(&self) -> u64 {
         self.next
     }
 
+    /// Whether none was added.
     pub fn is_empty(&self) -> bool {
         self.next == 0
     }
--- a/src/kernel/lanes.rs
+++ b/src/kernel/lanes.rs
@@ -1,70 +1,72 @@
-//! Which inputs of a node are served first, and what may become of one that waits.
+//! Classifies the inputs of a node: how urgent each is, and whether it may be replaced or dropped while it
+//! waits.
 #![deny(missing_docs)]
 
 use super::ids::NodeId;
 use crate::constraints::messages::ConstraintMsg;
 use crate::msg::{Event, Msg, Role};
 
-/// The lanes before a node, the most urgent first.
+/// The lanes of a node, the most urgent first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Lane {
-    /// Messages between the members of the chain: heartbeats, leases, entries, votes; few, and never late.
+    /// Messages between the members of the chain: heartbeats, leases, entries, votes. They are few and must
+    /// not be late.
     Chain,
     /// Calls, reads, serving leases, distribution and membership: someone waits for an answer.
     Serving,
-    /// The timed work of the duties, and what runners answer to it: as much as this node itself has asked for.
+    /// Timed work of the duties and the runners' answers to it; the node itself limits their number.
     Duty,
-    /// What routers report, however many they are.
+    /// Reports of routers, whatever their number.
     Deferrable,
 }
 
-/// All lanes.
+/// All lanes, the most urgent first.
 pub const LANES: [Lane; 4] = [Lane::Chain, Lane::Serving, Lane::Duty, Lane::Deferrable];
 
-/// A place that only the newest input of one sender and kind takes.
+/// Identifies the inputs of one sender and kind.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct Slot {
-    /// Who sent it; 0 for what comes from this process.
+    /// The sender; 0 for inputs from this process.
     pub sender: NodeId,
-    /// Its kind.
+    /// The kind of input.
     pub kind: &'static str,
 }
 
 /// How an input is queued.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Class {
-    /// Where it waits.
+    /// The lane.
     pub lane: Lane,
-    /// Where a newer one of the same sender and kind looks for it.
+    /// The slot, if a newer input of the same sender and kind may replace it.
     pub slot: Option<Slot>,
-    /// Whether a newer one in the same slot says all that it says.
+    /// Whether a newer input in the same slot makes it redundant.
     pub replaceable: bool,
     /// Whether it may be dropped when its lane is full, as it could be lost on the network.
     pub droppable: bool,
 }
 
 impl Class {
-    /// Waits its turn; neither replaced nor dropped.
+    /// Neither replaced nor dropped.
     pub const fn kept(lane: Lane) -> Class {
         Class { lane, slot: None, replaceable: false, droppable: false }
     }
 
-    /// Waits its turn, and may be dropped.
+    /// Not replaced, but droppable.
     pub const fn droppable(lane: Lane) -> Class {
         Class { droppable: true, ..Class::kept(lane) }
     }
 
-    /// Its place is taken by a newer one of the same sender and kind.
+    /// Replaced by a newer input of the same sender and kind, and droppable.
     pub const fn newest(lane: Lane, sender: NodeId, kind: &'static str) -> Class {
         let slot = Some(Slot { sender, kind });
         Class { lane, slot, replaceable: true, droppable: true }
     }
 }
 
-/// The sender of what comes from this process itself.
+/// The sender of inputs from this process.
 const OWN: NodeId = NodeId(0);
 
-/// How an event is queued before a node.
+/// The class of an event.
 pub fn class_of(event: &Event) -> Class {
     match event {
         Event::Message { from, msg, .. } => class_of_message(*from, msg),
@@ -85,7 +87,7 @@
     }
 }
 
-/// How a message is queued, at its sender before the link as well as before the node that gets it.
+/// The class of a message, both in the sender's queue to the link and in the receiver's input queue.
 pub fn class_of_message(from: NodeId, msg: &Msg) -> Class {
     match msg {
         Msg::Chain(_) => Class::kept(Lane::Chain),
@@ -102,7 +104,7 @@
             Class::newest(Lane::Deferrable, from, msg.kind())
         }
         Msg::UnmetDemand(_) | Msg::Holdings(_) => Class::droppable(Lane::Deferrable),
-        // A router takes only the grant of its newest request.
+        // A router accepts only the grant of its newest request.
         Msg::ServingLeaseRequest(_) | Msg::ListRead(_) => Class::newest(Lane::Serving, from, msg.kind()),
         _ => Class::droppable(Lane::Serving),
     }
--- a/src/kernel/log_file.rs
+++ b/src/kernel/log_file.rs
@@ -1,8 +1,8 @@
-//! The log file of a controller: batches are appended until a rewrite puts a snapshot in their place.
+//! The log file of a controller: batches are appended until a rewrite replaces them with a snapshot.
 //!
-//! A rewrite never changes the file that is in force. It makes the file of the next generation, syncs it, syncs
-//! the folder and only then removes the older one. After a loss of power, at whatever point and whichever of the
-//! files' names were kept or lost, the newest file whose first batch is whole holds all that was acknowledged.
+//! A rewrite never changes the current file. It writes the file of the next generation, syncs it, syncs the
+//! folder, and only then removes the older one. After a power loss at any point, whichever of the files'
+//! names survived, the newest file with an intact first batch holds everything that was acknowledged.
 #![deny(missing_docs)]
 
 use super::disk::Disk;
@@ -18,7 +18,7 @@
      disk; if no other copy is left, see 'restore' in docs/operators/machines.md";
 const REMEDY_FORMAT: &str = "start the release that wrote it, or empty the data folder to join as new";
 
-/// The file in force.
+/// The file in use.
 struct Current {
     generation: u64,
     len: u64,
@@ -28,14 +28,14 @@
 pub struct LogFile {
     folder: Box<dyn Folder>,
     current: Option<Current>,
-    /// Bytes of a failed append may stand behind the end of the current file.
+    /// Whether bytes of a failed append may follow the end of the current file.
     cut_due: bool,
-    /// A rewrite that failed may have left the file of this generation.
+    /// The generation of a file that a failed rewrite may have left.
     discard_due: Option<u64>,
 }
 
 impl LogFile {
-    /// Opens the folder on the machine's disk, and makes it if it is not there.
+    /// Opens the folder on the real disk, and creates it if needed; a fault if neither is possible.
     pub fn open(path: &Path) -> Result<LogFile, Fault> {
         let refused = |e: io::Error| {
             let remedy = "name a data folder this process can write to";
@@ -44,12 +44,12 @@
         Ok(LogFile::inside(Box::new(SystemFolder::open(path).map_err(refused)?)))
     }
 
-    /// Uses a folder of any kind.
+    /// Uses any folder.
     pub fn inside(folder: Box<dyn Folder>) -> LogFile {
         LogFile { folder, current: None, cut_due: false, discard_due: None }
     }
 
-    /// The name of the file in force.
+    /// The name of the current file.
     pub fn name(&self) -> Option<String> {
         self.current.as_ref().map(|current| file_name(current.generation))
     }
@@ -62,7 +62,7 @@
         self.fault(Kind::Disk, name, error, REMEDY_DISK)
     }
 
-    /// All generations that stand in the folder, the newest first.
+    /// The generations of all log files in the folder, the newest first.
     fn generations(&self) -> Result<Vec<u64>, Fault> {
         let names = self.folder.names().map_err(|e| self.refused("", e))?;
         let mut found: Vec<u64> = names.iter().filter_map(|name| log_format::generation(name)).collect();
@@ -71,7 +71,7 @@
         Ok(found)
     }
 
-    /// Reads one file; nothing is returned for one whose writing was not finished.
+    /// Reads one file; returns `None` if it was not written to its end.
     fn read(&mut self, generation: u64) -> Result<Option<Vec<Record>>, Fault> {
         let name = file_name(generation);
         let raw = self.folder.read(&name).map_err(|e| self.refused(&name, e))?;
@@ -103,8 +103,8 @@
         }
     }
 
-    /// A process that was killed may have left bytes that were written and not synced. They are read like all
-    /// others, so they have to last before this node says that it holds them.
+    /// Syncs a file that was read. A killed process may have left bytes that were written and not synced;
+    /// this node must not claim to hold them before they are durable.
     fn sync_what_was_read(&mut self, generation: u64) -> Result<(), Fault> {
         let name = file_name(generation);
         self.folder.sync_file(&name).map_err(|e| self.refused(&name, e))
@@ -121,8 +121,8 @@
         Ok(())
     }
 
-    /// Takes what a failed rewrite has left off the disk. Before that nothing may be appended to the older file:
-    /// the newer one would come back after a loss of power, and what was appended would be lost.
+    /// Removes the file that a failed rewrite left. Before that nothing may be appended to the older file:
+    /// the newer one could come back after a power loss, and the appended records would be lost.
     fn discard_if_due(&mut self) -> Result<(), Fault> {
         let Some(generation) = self.discard_due else { return Ok(()) };
         let name = file_name(generation);
@@ -136,7 +136,8 @@
         Ok(())
     }
 
-    /// Removes files that are older than the current one. A failure is no fault: the newest file counts.
+    /// Removes files that are older than the current one. A failure is ignored, because the newest file
+    /// counts.
     fn remove_older(&mut self) {
         let Some(newest) = self.current.as_ref().map(|current| current.generation) else { return };
         let mut removed = false;
--- a/src/kernel/log_format.rs
+++ b/src/kernel/log_format.rs
@@ -1,33 +1,34 @@
 //! The format of a controller's log file.
 //!
-//! A file begins with a header: a magic word, the version of the format, the generation of the file and a
-//! checksum. Batches follow, one for each write that was synced: a length, a checksum of the length, a checksum
-//! of the body, and the body. The first batch is the state that the file began with. Checksums are mixed with
-//! the generation and the offset, so that neither bytes inside a body nor an older file's batch is taken for one.
+//! A file starts with a header: a magic word, the format version, the generation of the file and a checksum.
+//! Batches follow, one for each synced write: a length, a checksum of the length, a checksum of the body, and
+//! the body. The first batch is the state with which the file started. The generation and the offset are
+//! mixed into the checksums, so that neither bytes inside a body nor a batch of an older file can pass for a
+//! batch.
 #![deny(missing_docs)]
 
 use crate::msg::Record;
 use crate::wire;
 
-/// The version of the format that this release writes.
+/// The format version that this release writes.
 pub const FORMAT: u32 = 3;
-/// The length of a file's header.
+/// The length of a file's header in bytes.
 pub const HEADER_LEN: usize = 24;
-/// The name of the only file of format 1, which had no header.
+/// The name of the only file of format 1, which has no header.
 pub const FORMAT_ONE_NAME: &str = "core.log";
 
 const MAGIC: &[u8; 8] = b"SPDLOCK\n";
 
-/// What the bytes of a log file hold.
+/// The content of a log file.
 #[derive(Debug, PartialEq)]
 pub enum Content {
-    /// The records, and the length up to which they reach; what follows is an unfinished write.
+    /// The records, and the offset at which they end; an unfinished write may follow.
     Whole(Vec<Record>, usize),
-    /// Not even the first batch is there: the writing of the file was not finished.
+    /// Not even the first batch is complete: the file was not written to its end.
     Unfinished,
-    /// The batch at this offset is damaged, and whole ones follow it.
+    /// The batch at this offset is damaged, and intact ones follow it.
     Damaged(usize),
-    /// Another release wrote the file, in this version of the format.
+    /// The file has this format version, which this release does not know.
     OtherFormat(u32),
 }
 
@@ -36,7 +37,7 @@
     format!("core.{generation}.log")
 }
 
-/// The generation that a name stands for, if it is the name of a log file.
+/// The generation of the log file with this name; `None` if it is not the name of one.
 pub fn generation(name: &str) -> Option<u64> {
     if name == FORMAT_ONE_NAME {
         return Some(0);
@@ -44,7 +45,7 @@
     name.strip_prefix("core.")?.strip_suffix(".log")?.parse().ok().filter(|generation| *generation > 0)
 }
 
-/// A file's header and its first batch.
+/// The bytes of a new file: the header and the first batch.
 pub fn begin(generation: u64, records: &[Record]) -> Vec<u8> {
     let mut raw = Vec::new();
     raw.extend(MAGIC);
@@ -55,14 +56,14 @@
     raw
 }
 
-/// One batch, as it stands at this offset of the file of this generation.
+/// The bytes of one batch at this offset of the file of this generation.
 pub fn batch(generation: u64, at: u64, records: &[Record]) -> Vec<u8> {
     let mut raw = wire::encode_frame(&bitcode::encode(records));
     mix(&mut raw[..wire::FRAME_HEADER_LEN], generation, at);
     raw
 }
 
-/// Reads the file of a generation.
+/// Parses the file of a generation.
 pub fn read(generation: u64, raw: &[u8]) -> Content {
     match header(raw) {
         Some((FORMAT, written)) if written == generation => {}
@@ -86,7 +87,7 @@
     }
 }
 
-/// Reads a file of format 1: records one by one, from the first byte.
+/// Parses a file of format 1: single records from the first byte on.
 pub fn read_format_one(raw: &[u8]) -> Content {
     let mut records = Vec::new();
     let mut at = 0;
@@ -98,7 +99,7 @@
     if later { Content::Damaged(at) } else { Content::Whole(records, at) }
 }
 
-/// Records in format 1, for tests of what an older release has written.
+/// Records in format 1, for tests of files from older releases.
 pub fn write_format_one(records: &[Record]) -> Vec<u8> {
     records.iter().flat_map(|record| wire::encode_frame(&bitcode::encode(record))).collect()
 }
@@ -127,8 +128,8 @@
     Some((wire::checked_body(&head, body).ok()?, wire::FRAME_HEADER_LEN + len))
 }
 
-/// Looks at each offset once. A body is read only behind a head with a sound checksum of its length, and such
-/// heads stand at the beginning of batches alone, so that no byte is read more than a few times.
+/// Tries each offset once. A body is read only after a header whose length checksum is right, and such
+/// headers occur only where batches start, so no byte is read more than a few times.
 fn has_batch_after(generation: u64, raw: &[u8], from: usize) -> bool {
     (from..raw.len()).any(|at| frame_at(generation, raw, at).is_some())
 }
@@ -138,7 +139,7 @@
     Some((bitcode::decode(body).ok()?, len))
 }
 
-/// Mixes generation and offset into both checksums of a batch's head; a second time takes them out again.
+/// Mixes generation and offset into both checksums of a batch's header; applied twice it restores them.
 fn mix(head: &mut [u8], generation: u64, at: u64) {
     let mut place = [0u8; 16];
     place[..8].copy_from_slice(&generation.to_le_bytes());
--- a/src/kernel/mod.rs
+++ b/src/kernel/mod.rs
@@ -1,3 +1,9 @@
+//! The deterministic core of a node, and the services that its drivers share.
+//!
+//! A [`node`] hands each [`event`] to its [`component`]s and returns the effects. [`input_queue`] and
+//! [`lanes`] order the inputs before it, [`hold`] keeps its messages back until the disk writes that they
+//! depend on are synced, [`disk`], [`folder`], [`log_file`] and [`log_format`] are its durable log.
+
 pub mod change_id;
 pub mod component;
 pub mod disk;
--- a/src/kernel/rand.rs
+++ b/src/kernel/rand.rs
@@ -1,6 +1,11 @@
+//! Random numbers: the operating system's in a process, a seeded sequence in simulations.
+
+/// A source of random numbers.
 pub trait Rand: Send {
+    /// The next number.
     fn next(&mut self) -> u64;
 
+    /// A number below `top`; 0 if `top` is 0.
     fn below(&mut self, top: u64) -> u64 {
         if top == 0 {
             return 0;
@@ -9,6 +14,7 @@
     }
 }
 
+/// A sequence that depends on its seed alone (SplitMix64).
 pub struct SeededRandom(pub u64);
 
 impl Rand for SeededRandom {
@@ -18,6 +24,7 @@
     }
 }
 
+/// The operating system's generator.
 pub struct OsRandom;
 
 impl Rand for OsRandom {
@@ -29,6 +36,7 @@
     }
 }
 
+/// The finalizer of SplitMix64: spreads the bits of a number.
 pub fn mix(seed: u64) -> u64 {
     let mut z = seed;
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -36,6 +44,8 @@
     z ^ (z >> 31)
 }
 
+/// A hash that is equal on all nodes and releases; `salt` selects one of many independent hashes (FNV-1a,
+/// then `mix`).
 pub fn hash(text: &str, salt: u64) -> u64 {
     let mut h = 0xcbf2_9ce4_8422_2325u64 ^ mix(salt);
     for b in text.bytes() {
--- a/src/kernel/step_times.rs
+++ b/src/kernel/step_times.rs
@@ -1,4 +1,4 @@
-//! How long the steps of a node take, by component and by kind of input, measured by its driver's clock.
+//! Measures how long the steps of a node take, by component and by kind of input, with the driver's clock.
 #![deny(missing_docs)]
 
 use super::time::{Clock, Span, Time};
@@ -6,19 +6,19 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// For how long figures are gathered before they are shown.
+/// The interval over which figures are collected.
 pub const INTERVAL: Span = Span::ms(5_000);
-/// How many rows of a table are shown.
+/// The number of rows shown of a table.
 const SHOWN: usize = 6;
 
-/// Steps of one component or one kind of input.
+/// Figures of the steps of one component or one kind of input.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Steps {
-    /// How many there were.
+    /// The number of steps.
     pub count: u64,
-    /// How long they took together.
+    /// Their total time.
     pub sum: Span,
-    /// How long the longest took.
+    /// The time of the longest.
     pub longest: Span,
 }
 
@@ -48,46 +48,46 @@
     clock: Arc<dyn Clock>,
     since: Time,
     began: Time,
-    lap: Time,
+    lap_began: Time,
     current: StepFigures,
     last: StepFigures,
 }
 
 impl StepTimes {
-    /// Measures by `clock`.
+    /// Measures with `clock`.
     pub fn new(clock: Arc<dyn Clock>) -> StepTimes {
         let now = clock.now();
         let (current, last) = Default::default();
-        StepTimes { clock, since: now, began: now, lap: now, current, last }
+        StepTimes { clock, since: now, began: now, lap_began: now, current, last }
     }
 
     /// A step begins.
     pub fn begin(&mut self) {
         self.began = self.clock.now();
-        self.lap = self.began;
+        self.lap_began = self.began;
     }
 
     /// A component has handled an event of the step.
     pub fn component(&mut self, name: &'static str) {
         let now = self.clock.now();
-        self.current.components.entry(name).or_default().add(now.since(self.lap));
-        self.lap = now;
+        self.current.components.entry(name).or_default().add(now.since(self.lap_began));
+        self.lap_began = now;
     }
 
     /// The step for an input of this kind has ended.
     pub fn end(&mut self, kind: &'static str) {
-        let took = self.lap.since(self.began);
+        let took = self.lap_began.since(self.began);
         self.current.all.add(took);
         self.current.kinds.entry(kind).or_default().add(took);
     }
 
-    /// What a driver did outside the node's steps, since `began`.
+    /// Counts work of the driver outside the node's steps, since `began`, under `name`.
     pub fn outside(&mut self, name: &'static str, began: Time) {
         let took = self.clock.now().since(began);
         self.current.components.entry(name).or_default().add(took);
     }
 
-    /// The figures of an interval that has just ended.
+    /// The figures of the interval, if it has just ended.
     pub fn ended(&mut self, now: Time) -> Option<&StepFigures> {
         if now.since(self.since) < INTERVAL {
             return None;
@@ -97,19 +97,19 @@
         Some(&self.last)
     }
 
-    /// The figures of the last whole interval.
+    /// The figures of the last complete interval.
     pub fn last(&self) -> &StepFigures {
         &self.last
     }
 }
 
 impl StepFigures {
-    /// The components that took longest, as `name=count/sum/longest` in milliseconds.
+    /// The components with the largest total time, as `name=count/sum/longest` in milliseconds.
     pub fn components(&self) -> String {
         shown(&self.components)
     }
 
-    /// The kinds of input that took longest.
+    /// The kinds of input with the largest total time, in the same form.
     pub fn kinds(&self) -> String {
         shown(&self.kinds)
     }
--- a/src/kernel/time.rs
+++ b/src/kernel/time.rs
@@ -1,26 +1,34 @@
+//! Time in microseconds, and the clock that a driver reads.
+
 use bitcode::{Decode, Encode};
 use std::fmt;
 use std::ops::{Add, Sub};
 
+/// Microseconds since a start that all times of one clock share.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Encode, Decode)]
 pub struct Time(pub u64);
 
+/// A duration in microseconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Encode, Decode)]
 pub struct Span(pub u64);
 
 impl Span {
+    /// A span of so many milliseconds.
     pub const fn ms(n: u64) -> Span {
         Span(n * 1000)
     }
+    /// Whole milliseconds.
     pub const fn as_ms(self) -> u64 {
         self.0 / 1000
     }
+    /// The span as a standard duration.
     pub fn as_std(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0)
     }
 }
 
 impl Time {
+    /// The span from `then`; zero if `then` is later.
     pub fn since(self, then: Time) -> Span {
         Span(self.0.saturating_sub(then.0))
     }
@@ -53,10 +61,13 @@
     }
 }
 
+/// A clock.
 pub trait Clock: Send + Sync {
+    /// The current time.
     fn now(&self) -> Time;
 }
 
+/// The machine's clock since boot, which also runs while the machine is suspended.
 pub struct BootClock;
 
 impl Clock for BootClock {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,3 +1,12 @@
+//! Routes requests to model runners, and keeps the routes, the runners and the placement of models consistent
+//! over all routers.
+//!
+//! Controllers replicate the configuration along a chain (`chain`, `membership`); routers receive it
+//! (`distribution`), accept requests (`http`, `gate`) and forward them (`forwarding`, `transfer`).
+//! `placement` decides which runner holds which model, `rollout` rehearses configurations, `constraints`
+//! enforces quotas. All of it runs as components of a deterministic node (`kernel`), which `daemon` drives in
+//! a real process, `sim` and `hollow` in a simulated fleet and `explore` step by step.
+
 pub mod chain;
 pub mod cli;
 pub mod constraints;
--- a/src/placement/holdings_push.rs
+++ b/src/placement/holdings_push.rs
@@ -100,8 +100,9 @@
         self.publisher.checked_at = ctx.now;
         let rows = self.runner_holdings(ctx.now);
         let old = &self.publisher.sent;
-        let news: Vec<RunnerHoldings> = rows.values().filter_map(|r| r.after(old.get(&r.runner))).collect();
-        let minor = news.iter().all(|r| rows[&r.runner].minor(old.get(&r.runner)));
+        let news: Vec<RunnerHoldings> =
+            rows.values().filter_map(|r| r.changes_since(old.get(&r.runner))).collect();
+        let minor = news.iter().all(|r| rows[&r.runner].differs_only_in_figures(old.get(&r.runner)));
         let beat = ctx.now.since(self.publisher.sent_at) >= HEARTBEAT_INTERVAL;
         let max_age = Span(MINOR_INTERVAL.0.max(gap.0 * MINOR_CHECKS));
         let due = !news.is_empty() && (!minor || ctx.now.since(self.publisher.minor_sent_at) >= max_age);
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -1,7 +1,8 @@
-//! Forwards an operator's calls, which may reach any node, to the head (writes) or the tail (reads) of the chain.
+//! Forwards operators' calls, which may reach any node, to the head (writes) or the tail (reads) of the
+//! chain.
 //!
-//! Each call is answered while its caller still listens. An answer counts only for the attempt that asked for
-//! it, so that one that comes late never answers a newer call.
+//! Each call gets an answer before its caller's timeout. An answer counts only for the attempt that asked for
+//! it, so that a late one never answers a newer call.
 
 use crate::kernel::component::{Component, Context};
 use crate::kernel::ids::*;
@@ -10,70 +11,73 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How often a call is sent again while nothing came back for it.
+/// Interval at which a call is sent again while no answer has come.
 const RESEND_INTERVAL: Span = Span::ms(300);
-/// How often a write is sent again once the head has said that it is at work on it.
+/// Interval at which a write is sent again after the head has said that it is working on it.
 const PENDING_INTERVAL: Span = Span::ms(1000);
-/// How long a read, or a change in an operator's own format, may take: such callers leave after a second.
-const CALLER_PATIENCE: Span = Span::ms(900);
-/// What callers wait longer for each KiB of a change.
-const PATIENCE_PER_KIB: Span = Span::ms(1);
-/// How long a change in the product's own format may take: its callers wait for the end of its rehearsal.
-const REHEARSAL_PATIENCE: Span = Span::ms(20_000);
-
-/// What is forwarded.
+/// Time limit of a read, or of a change in a platform's format: such callers give up after a second.
+const CALLER_TIMEOUT: Span = Span::ms(900);
+/// Additional time limit for each KiB of a change.
+const TIMEOUT_PER_KIB: Span = Span::ms(1);
+/// Time limit of a change in the product's own format: its callers wait until its rehearsal ends.
+const REHEARSAL_TIMEOUT: Span = Span::ms(20_000);
+
+/// A call to forward.
 enum Call {
     Write(Box<OperatorCall>),
     Read(String),
 }
 
-/// A call that is under way.
-struct Job {
+/// A call without an answer so far.
+struct PendingCall {
     call: Call,
+    /// Random and odd; answers to other attempts are ignored.
     attempt: u64,
-    since: Time,
-    sent: Option<Time>,
-    pending: bool,
+    received_at: Time,
+    sent_at: Option<Time>,
+    /// Whether the head has said that it is working on the call.
+    is_in_progress: bool,
 }
 
 /// Component that forwards operators' calls and answers them in time.
 #[derive(Default)]
 pub struct Relay {
-    jobs: BTreeMap<ChangeId, Job>,
+    calls: BTreeMap<ChangeId, PendingCall>,
 }
 
 /// How long the caller of a write waits for its answer.
-pub fn write_patience(op: &OperatorCall) -> Span {
+pub fn write_timeout(op: &OperatorCall) -> Span {
     match op {
         OperatorCall::PlatformConfig { text, .. } => {
-            CALLER_PATIENCE + Span(PATIENCE_PER_KIB.0 * (text.len() as u64 / 1024))
+            CALLER_TIMEOUT + Span(TIMEOUT_PER_KIB.0 * (text.len() as u64 / 1024))
         }
-        _ => REHEARSAL_PATIENCE,
+        _ => REHEARSAL_TIMEOUT,
     }
 }
 
-impl Job {
-    fn max_age(&self) -> Span {
+impl PendingCall {
+    fn timeout(&self) -> Span {
         match &self.call {
-            Call::Read(_) => CALLER_PATIENCE,
-            Call::Write(op) => write_patience(op),
+            Call::Read(_) => CALLER_TIMEOUT,
+            Call::Write(op) => write_timeout(op),
         }
     }
 
-    fn resend_due(&self, now: Time) -> bool {
-        let interval = if self.pending { PENDING_INTERVAL } else { RESEND_INTERVAL };
-        self.sent.is_none_or(|sent| now.since(sent) >= interval)
+    fn is_resend_due(&self, now: Time) -> bool {
+        let interval = if self.is_in_progress { PENDING_INTERVAL } else { RESEND_INTERVAL };
+        self.sent_at.is_none_or(|sent_at| now.since(sent_at) >= interval)
     }
 
-    /// What the caller is told when no answer came in time, or none can come.
+    /// The answer to the caller if none came in time or none can come.
     fn unanswered(&self, id: ChangeId, view_known: bool) -> Answer {
         let write = matches!(self.call, Call::Write(_));
-        if write && self.sent.is_some() {
+        if write && self.sent_at.is_some() {
             let text = format!("the change may still be taken; ask for it with: spindledock change {id}");
             return Answer::new(504, "outcome-unknown", &text, 1);
         }
         if !view_known {
-            let text = "no core is known yet; check the seeds and that a majority of controllers runs";
+            let text =
+                "no controllers are known yet; check the seeds and that a majority of the controllers runs";
             return Answer::new(503, "no-core", text, 1);
         }
         let text = "this node reaches no majority of the controllers; nothing was done, ask another node";
@@ -81,7 +85,7 @@
     }
 }
 
-/// Where another member of the chain takes calls; `draw` spreads the callers over all of them.
+/// The admin address of another member of the chain; `draw` spreads the callers over all members.
 fn another_member(ctx: &Context, draw: u64) -> Option<SocketAddr> {
     let own = ctx.me.node;
     let chain = ctx.views.view.as_ref().map_or(vec![], |view| view.chain.clone());
@@ -93,80 +97,81 @@
 impl Relay {
     fn add(&mut self, id: ChangeId, call: Call, ctx: &mut Context) {
         let attempt = ctx.rand.next() | 1;
-        let job = Job { call, attempt, since: ctx.now, sent: None, pending: false };
+        let pending =
+            PendingCall { call, attempt, received_at: ctx.now, sent_at: None, is_in_progress: false };
         if ctx.views.role.is_isolated {
             let redirect = another_member(ctx, attempt);
-            return ctx.answer(id, Answer { redirect, ..job.unanswered(id, true) });
+            return ctx.answer(id, Answer { redirect, ..pending.unanswered(id, true) });
         }
-        self.jobs.insert(id, job);
+        self.calls.insert(id, pending);
         self.send(id, ctx);
     }
 
     fn send(&mut self, id: ChangeId, ctx: &mut Context) {
-        let (Some(job), Some(view)) = (self.jobs.get_mut(&id), &ctx.views.view) else { return };
-        let attempt = job.attempt;
-        let (to, msg) = match &job.call {
+        let (Some(pending), Some(view)) = (self.calls.get_mut(&id), &ctx.views.view) else { return };
+        let attempt = pending.attempt;
+        let (to, msg) = match &pending.call {
             Call::Write(op) => (view.head(), Msg::OperatorCall { id, attempt, op: OperatorCall::clone(op) }),
             Call::Read(path) => (view.tail(), Msg::ReadCall { attempt, path: path.clone() }),
         };
         if let Some(to) = to {
-            job.sent = Some(ctx.now);
+            pending.sent_at = Some(ctx.now);
             ctx.send(to, msg);
         }
     }
 
     fn tick(&mut self, ctx: &mut Context) {
-        let ids: Vec<ChangeId> = self.jobs.keys().copied().collect();
+        let ids: Vec<ChangeId> = self.calls.keys().copied().collect();
         for id in ids {
-            let Some(job) = self.jobs.get(&id) else { continue };
-            if ctx.now.since(job.since) >= job.max_age() {
-                let answer = job.unanswered(id, ctx.views.view.is_some());
-                self.jobs.remove(&id);
+            let Some(pending) = self.calls.get(&id) else { continue };
+            if ctx.now.since(pending.received_at) >= pending.timeout() {
+                let answer = pending.unanswered(id, ctx.views.view.is_some());
+                self.calls.remove(&id);
                 ctx.answer(id, answer);
-            } else if job.resend_due(ctx.now) {
+            } else if pending.is_resend_due(ctx.now) {
                 self.send(id, ctx);
             }
         }
     }
 
-    /// The head or tail may be another now: everything is sent again.
+    /// Sends every call again, because the head or tail may have changed.
     fn view_changed(&mut self, ctx: &mut Context) {
-        let ids: Vec<ChangeId> = self.jobs.keys().copied().collect();
+        let ids: Vec<ChangeId> = self.calls.keys().copied().collect();
         for id in ids {
             self.send(id, ctx);
         }
     }
 
     fn write_ended(&mut self, id: ChangeId, attempt: u64, answer: &Answer, ctx: &mut Context) {
-        if self.jobs.get(&id).is_some_and(|job| job.attempt == attempt) {
-            self.jobs.remove(&id);
+        if self.calls.get(&id).is_some_and(|pending| pending.attempt == attempt) {
+            self.calls.remove(&id);
             ctx.answer(id, answer.clone());
         }
     }
 
     fn read_ended(&mut self, attempt: u64, answer: &Answer, ctx: &mut Context) {
-        let found = self.jobs.iter().find(|(_, job)| job.attempt == attempt).map(|(id, _)| *id);
+        let found = self.calls.iter().find(|(_, pending)| pending.attempt == attempt).map(|(id, _)| *id);
         if let Some(id) = found {
-            self.jobs.remove(&id);
+            self.calls.remove(&id);
             ctx.answer(id, answer.clone());
         }
     }
 
-    fn pending(&mut self, id: ChangeId, attempt: u64) {
-        if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.attempt == attempt) {
-            job.pending = true;
+    fn mark_in_progress(&mut self, id: ChangeId, attempt: u64) {
+        if let Some(pending) = self.calls.get_mut(&id).filter(|pending| pending.attempt == attempt) {
+            pending.is_in_progress = true;
         }
     }
 }
 
 impl Answer {
-    /// An answer with a code, and a text that names the remedy.
+    /// An answer with a code and a text that names the remedy.
     pub fn new(status: u16, code: &str, text: &str, retry_s: u64) -> Answer {
         let body = crate::json::tree::map(&[("code", code.into()), ("text", text.into())]).to_string();
         Answer { status, body, retry_s, redirect: None }
     }
 
-    /// A success that carries what was asked for.
+    /// A successful answer with this body.
     pub fn ok(body: String) -> Answer {
         Answer { status: 200, body, retry_s: 0, redirect: None }
     }
@@ -192,7 +197,9 @@
             Event::Message { msg: Msg::ReadAnswer { attempt, answer }, .. } => {
                 self.read_ended(*attempt, answer, ctx)
             }
-            Event::Message { msg: Msg::CallPending { id, attempt }, .. } => self.pending(*id, *attempt),
+            Event::Message { msg: Msg::CallPending { id, attempt }, .. } => {
+                self.mark_in_progress(*id, *attempt)
+            }
             Event::Journal(JournalEvent::ViewInstalled(_) | JournalEvent::ViewHeard(_)) => {
                 self.view_changed(ctx)
             }
@@ -202,6 +209,6 @@
     }
 
     fn status(&self, _now: Time) -> Vec<(&'static str, String)> {
-        vec![("pending", self.jobs.len().to_string())]
+        vec![("pending", self.calls.len().to_string())]
     }
 }
--- a/src/sim/check_config.rs
+++ b/src/sim/check_config.rs
@@ -124,7 +124,7 @@
     }
     for c in &r.taken {
         let found = state.outcome(c.id);
-        let aged = found.is_none() && state.outcomes.len() >= crate::fleet::state::OUTCOMES;
+        let aged = found.is_none() && state.outcomes.len() >= crate::fleet::state::MAX_OUTCOMES;
         if !aged && found.is_none_or(|o| o.code != OutcomeCode::Ok) {
             bad.push(format!("6 change {} was acknowledged as {} and is lost", c.id, c.at));
         }
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -1,5 +1,5 @@
-//! A message as bytes: its kind, and its payload by a coder for that kind alone. A coder for all kinds would visit the
-//! columns of each kind for every message, most of which are empty.
+//! Encodes a message as its kind and its payload, with a coder for that kind alone. A coder for all kinds
+//! would visit the columns of every kind for each message, although most of them are empty.
 #![deny(missing_docs)]
 
 use crate::distribution::history::UpdateBody;
@@ -10,7 +10,7 @@
 use bitcode::Buffer;
 use std::sync::Arc;
 
-/// The kinds that share one coder.
+/// All kinds that share one coder.
 const OTHER: u8 = 0;
 /// The kinds whose payload has a coder of its own.
 const PING: u8 = 1;
@@ -31,14 +31,14 @@
 const CHAIN_LEASE_GRANT: u8 = 16;
 const LEASE_APPLICATIONS: u8 = 17;
 const RELEASED: u8 = 18;
-/// An update reply in which nothing changed, as most.
+/// An update reply in which nothing changed, like most.
 const UPDATE_SAME: u8 = 19;
 const HELD_ASK: u8 = 20;
 const SYNC: u8 = 21;
 const NUDGE: u8 = 22;
 const CONSTRAINT: u8 = 23;
 
-/// Appends a message.
+/// Appends a message to `body`.
 pub(super) fn put(msg: &Msg, coder: &mut Buffer, body: &mut Vec<u8>) {
     match msg {
         Msg::Ping(g) => part(PING, &**g, coder, body),
@@ -103,7 +103,7 @@
     Some(rows.into_iter().map(item).collect())
 }
 
-/// The message in a body; nothing if it isn't one.
+/// The message in a body; `None` if it is malformed.
 pub(super) fn take(body: &[u8], coder: &mut Buffer) -> Option<Msg> {
     let (kind, raw) = body.split_first()?;
     Some(match *kind {
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,8 @@
-//! Frames between nodes and on disk: length, checksums, body; and the encoding of an envelope.
+//! Frames between nodes and on disk, and the encoding of envelopes.
+//!
+//! A frame is a header and a body. The header holds the length of the body, a checksum of the length and a
+//! checksum of the body, each in 4 bytes, little-endian. The body of a network frame holds an envelope: the
+//! protocol version, sender and receiver, and a message as encoded by `message`.
 
 use crate::kernel::fault::{Fault, Kind};
 use crate::kernel::ids::{FleetId, NodeId};
@@ -9,18 +13,24 @@
 
 mod message;
 
+/// The maximum body of a frame from the network, in bytes.
 pub const MAX_NETWORK_BODY: usize = 32 << 20;
+/// The maximum body of a frame on disk, in bytes.
 pub const MAX_DISK_BODY: usize = 64 << 20;
+/// The length of a frame's header in bytes.
 pub const FRAME_HEADER_LEN: usize = 12;
+/// The version of the encoding of envelopes; nodes accept only their own.
 const PROTOCOL_VERSION: u8 = 4;
-/// A coder that took more than this is not kept for the next envelope.
+/// A coder that encoded or decoded a message larger than this is not kept for the next one.
 const MAX_KEPT_CODER: usize = 64 << 10;
 
 thread_local! {
-    /// The state of a coder for all kinds of messages takes longer to build than most envelopes to encode.
+    /// Kept per thread: building the state of a coder for all kinds of messages takes longer than encoding
+    /// most envelopes.
     static CODER: RefCell<bitcode::Buffer> = RefCell::default();
 }
 
+/// The frame of a body.
 pub fn encode_frame(body: &[u8]) -> Vec<u8> {
     let mut raw = Vec::with_capacity(FRAME_HEADER_LEN + body.len());
     let len = (body.len() as u32).to_le_bytes();
@@ -31,6 +41,11 @@
     raw
 }
 
+/// The length of the body that follows this header.
+///
+/// # Errors
+///
+/// The length is damaged, or exceeds `most`.
 pub fn body_len(head: &[u8; FRAME_HEADER_LEN], most: usize) -> Result<usize, Fault> {
     let word = |n: usize| u32::from_le_bytes(head[n..n + 4].try_into().expect("four bytes"));
     let len = word(0) as usize;
@@ -54,6 +69,11 @@
     Ok(len)
 }
 
+/// The body, once its checksum has been verified.
+///
+/// # Errors
+///
+/// The body is damaged.
 pub fn checked_body<'a>(head: &[u8; FRAME_HEADER_LEN], body: &'a [u8]) -> Result<&'a [u8], Fault> {
     let sum = u32::from_le_bytes(head[8..12].try_into().expect("four bytes"));
     if crc32fast::hash(body) != sum {
@@ -67,6 +87,11 @@
     Ok(body)
 }
 
+/// The body of the frame at the start of `raw`, and the length of the whole frame.
+///
+/// # Errors
+///
+/// The frame is incomplete, damaged, or its body exceeds `most`.
 pub fn decode_frame(raw: &[u8], most: usize) -> Result<(&[u8], usize), Fault> {
     let short = || Fault::new(Kind::Wire, "frame", "it ends early", "none needed");
     let head: &[u8; FRAME_HEADER_LEN] =
@@ -76,7 +101,7 @@
     Ok((checked_body(head, part)?, FRAME_HEADER_LEN + len))
 }
 
-/// The frame of an envelope: its edition, who sends it to whom, and its message.
+/// The frame of an envelope.
 pub fn encode_envelope(envelope: &Envelope) -> Vec<u8> {
     CODER.with_borrow_mut(|coder| {
         let mut body = vec![PROTOCOL_VERSION];
@@ -91,18 +116,22 @@
 }
 
 /// The envelope in the body of a frame.
+///
+/// # Errors
+///
+/// The body is malformed or of another protocol version.
 pub fn decode_envelope(body: &[u8]) -> Result<Envelope, Fault> {
     let bad = |what: &str| Fault::new(Kind::Wire, "letter", what, "run one release on all nodes");
-    let Some((edition, rest)) = body.split_first() else { return Err(bad("it is empty")) };
-    if *edition != PROTOCOL_VERSION {
-        return Err(bad("its edition is not ours"));
+    let Some((version, rest)) = body.split_first() else { return Err(bad("it is empty")) };
+    if *version != PROTOCOL_VERSION {
+        return Err(bad("it has another protocol version"));
     }
     let (ends, rest) = split(rest).ok_or_else(|| bad("it ends early"))?;
     let decoded = match rest.len() {
         0..=MAX_KEPT_CODER => CODER.with_borrow_mut(|coder| read(ends, rest, coder)),
         _ => read(ends, rest, &mut bitcode::Buffer::default()),
     };
-    decoded.ok_or_else(|| bad("it does not decode"))
+    decoded.ok_or_else(|| bad("its message does not decode"))
 }
 
 fn read(ends: &[u8], rest: &[u8], coder: &mut bitcode::Buffer) -> Option<Envelope> {
@@ -111,7 +140,7 @@
     Some(Envelope { from, to, fleet, addr, msg })
 }
 
-/// Who sends an envelope to whom.
+/// Sender and receiver of an envelope.
 #[derive(Encode, Decode)]
 struct Ends {
     from: NodeId,
@@ -120,7 +149,7 @@
     addr: SocketAddr,
 }
 
-/// Appends a part with its length before it.
+/// Appends a part, preceded by its length in 2 bytes.
 fn append(body: &mut Vec<u8>, part: &[u8]) {
     body.extend((part.len() as u16).to_le_bytes());
     body.extend(part);
--- a/tests/order_identity.rs
+++ b/tests/order_identity.rs
@@ -68,7 +68,7 @@
         state.fold(state.at.next(), &change);
     }
     assert_eq!(code(&state, id), Some(OutcomeCode::Ok));
-    assert_eq!((state.ledger.taken_len(), state.internal_outcomes.len()), (1, INTERNAL_OUTCOMES));
+    assert_eq!((state.ledger.taken_len(), state.internal_outcomes.len()), (1, MAX_INTERNAL_OUTCOMES));
 }
 
 #[test]
