--- a/tests/delta.rs
+++ b/tests/delta.rs
@@ -1,3 +1,6 @@
+//! Differences between versions of a topic: they are small and exact, a reader refuses one that does not fit
+//! its copy, and its version never goes back.
+
 use spindledock::distribution::TopicReader;
 use spindledock::distribution::history::{ChangeHistory, DeltaStep, UpdateBody};
 use spindledock::distribution::reader::Topic;
@@ -47,19 +50,19 @@
 }
 
 fn reader() -> TopicReader {
-    let mut r = TopicReader::new(Time(1_000_000));
-    r.topics.insert(Scope::Routes, Topic::default());
-    r
+    let mut reader = TopicReader::new(Time(1_000_000));
+    reader.topics.insert(Scope::Routes, Topic::default());
+    reader
 }
 
 #[test]
 fn given_a_thousand_routes_when_twenty_change_then_the_change_is_small_and_gives_the_same_list() {
     let mut rand = SeededRandom(7);
-    let (mut home, mut reader) = (ChangeHistory::default(), ChangeHistory::default());
+    let (mut publisher, mut reader) = (ChangeHistory::default(), ChangeHistory::default());
     let mut rows: Vec<RouteRow> = (0..1000).map(|n| row(n, 1000)).collect();
-    home.advance(Version(1), Arc::new(slice_of(rows.clone())));
-    reader.advance(Version(1), home.slice.clone().expect("held"));
-    let whole = bitcode::encode(&home.update_since(Version(0))).len();
+    publisher.advance(Version(1), Arc::new(slice_of(rows.clone())));
+    reader.advance(Version(1), publisher.slice.clone().expect("held"));
+    let whole = bitcode::encode(&publisher.update_since(Version(0))).len();
     for at in 2..40u64 {
         for _ in 0..20 {
             let n = rand.below(rows.len() as u64) as usize;
@@ -69,28 +72,28 @@
                 _ => rows[n].route.due_ms = rand.below(9000),
             }
         }
-        home.advance(Version(at), Arc::new(slice_of(rows.clone())));
-        let UpdateBody::Steps(steps) = home.update_since(reader.at) else { panic!("steps are smaller") };
+        publisher.advance(Version(at), Arc::new(slice_of(rows.clone())));
+        let UpdateBody::Steps(steps) = publisher.update_since(reader.at) else { panic!("steps are smaller") };
         assert!(bitcode::encode(&UpdateBody::Steps(steps.clone())).len() * 5 < whole, "a fifth at most");
         assert!(reader.apply_steps(&steps));
-        assert_eq!(reader.slice, home.slice);
+        assert_eq!(reader.slice, publisher.slice);
     }
-    assert!(matches!(home.update_since(Version(2)), UpdateBody::Whole(_)), "too far behind");
+    assert!(matches!(publisher.update_since(Version(2)), UpdateBody::Whole(_)), "too far behind");
 }
 
 #[test]
 fn given_a_thousand_tenants_when_keys_are_added_taken_away_and_passed_on_then_the_change_is_small_and_exact()
 {
     let mut rand = SeededRandom(9);
-    let (mut home, mut reader) = (ChangeHistory::default(), ChangeHistory::default());
+    let (mut publisher, mut reader) = (ChangeHistory::default(), ChangeHistory::default());
     let key = |n: u64| KeyDigest::of(&n.to_le_bytes());
     let mut tenants: Vec<Tenant> = (0..1000).map(|n| tenant(n, vec![key(n)])).collect();
     let slice = |tenants: &[Tenant]| {
         Arc::new(Slice::Routes(RoutesSlice { rows: vec![row(1, 1000)], tenants: tenants.to_vec() }))
     };
-    home.advance(Version(1), slice(&tenants));
-    reader.advance(Version(1), home.slice.clone().expect("held"));
-    let whole = bitcode::encode(&home.update_since(Version(0))).len();
+    publisher.advance(Version(1), slice(&tenants));
+    reader.advance(Version(1), publisher.slice.clone().expect("held"));
+    let whole = bitcode::encode(&publisher.update_since(Version(0))).len();
     for at in 2..40u64 {
         let (from, to) =
             (rand.below(tenants.len() as u64) as usize, rand.below(tenants.len() as u64) as usize);
@@ -103,77 +106,91 @@
             }
             _ => drop(tenants.remove(from)),
         }
-        home.advance(Version(at), slice(&tenants));
-        let UpdateBody::Steps(steps) = home.update_since(reader.at) else { panic!("steps are smaller") };
+        publisher.advance(Version(at), slice(&tenants));
+        let UpdateBody::Steps(steps) = publisher.update_since(reader.at) else { panic!("steps are smaller") };
         assert!(bitcode::encode(&UpdateBody::Steps(steps.clone())).len() * 50 < whole, "a fiftieth at most");
         assert!(reader.apply_steps(&steps));
-        assert_eq!(reader.slice, home.slice, "at {at}");
+        assert_eq!(reader.slice, publisher.slice, "at {at}");
     }
 }
 
 #[test]
 fn given_a_copy_that_differs_when_a_change_is_applied_then_it_is_refused_and_the_whole_is_asked_for() {
-    let mut home = ChangeHistory::default();
-    home.advance(Version(3), routes(0..50));
-    home.advance(Version(5), routes(0..60));
-    let mut r = reader();
+    let mut publisher = ChangeHistory::default();
+    publisher.advance(Version(3), routes(0..50));
+    publisher.advance(Version(5), routes(0..60));
+    let mut reader = reader();
     let other = Arc::new(slice_of((100..150).map(|n| row(n, 1000)).collect()));
-    let nonce = r.start_request(Time(2_000_000));
-    assert_eq!(r.handle_reply(nonce, &[item(3, Span(0), UpdateBody::Whole(other))]).len(), 1);
-    let nonce = r.start_request(Time(2_100_000));
+    let nonce = reader.start_request(Time(2_000_000));
+    assert_eq!(reader.handle_reply(nonce, &[item(3, Span(0), UpdateBody::Whole(other))]).len(), 1);
+    let nonce = reader.start_request(Time(2_100_000));
     assert!(
-        r.handle_reply(nonce, &[item(5, Span(0), home.update_since(Version(3)))]).is_empty(),
-        "not taken"
+        reader.handle_reply(nonce, &[item(5, Span(0), publisher.update_since(Version(3)))]).is_empty(),
+        "refused"
+    );
+    assert_eq!(reader.known_version(&Scope::Routes), Version(0), "it asks for the whole content");
+    assert_eq!(
+        reader.age(&Scope::Routes, Time(2_100_000)),
+        Some(Span(100_000)),
+        "a refused update proves nothing"
+    );
+    let nonce = reader.start_request(Time(2_200_000));
+    let got = reader.handle_reply(
+        nonce,
+        &[item(5, Span(0), publisher.update_since(reader.known_version(&Scope::Routes)))],
     );
-    assert_eq!(r.known_version(&Scope::Routes), Version(0), "it asks for the whole");
-    assert_eq!(r.age(&Scope::Routes, Time(2_100_000)), Some(Span(100_000)), "and proves nothing");
-    let nonce = r.start_request(Time(2_200_000));
-    let got = r.handle_reply(nonce, &[item(5, Span(0), home.update_since(r.known_version(&Scope::Routes)))]);
     assert_eq!(got.len(), 1);
-    assert_eq!(r.topics[&Scope::Routes].history.slice, home.slice);
-    assert_eq!(r.known_version(&Scope::Routes), Version(5));
+    assert_eq!(reader.topics[&Scope::Routes].history.slice, publisher.slice);
+    assert_eq!(reader.known_version(&Scope::Routes), Version(5));
 }
 
 #[test]
 fn given_an_unasked_push_when_it_comes_then_it_raises_the_version_and_proves_nothing() {
-    let mut r = reader();
+    let mut reader = reader();
     let push = |at| [item(at, Span(0), UpdateBody::Whole(routes(0..at)))];
-    assert!(r.handle_push(&push(4)).is_empty(), "nothing before the first own proof");
-    let nonce = r.start_request(Time(2_000_000));
-    r.handle_reply(nonce, &push(4));
-    let got = r.handle_push(&push(6));
+    assert!(reader.handle_push(&push(4)).is_empty(), "pushes are ignored before the first reply");
+    let nonce = reader.start_request(Time(2_000_000));
+    reader.handle_reply(nonce, &push(4));
+    let got = reader.handle_push(&push(6));
     assert_eq!((got.len(), got[0].at, got[0].proven), (1, Version(6), Time(2_000_000)));
-    assert_eq!(r.age(&Scope::Routes, Time(3_000_000)), Some(Span(1_000_000)));
-    assert!(r.handle_push(&push(5)).is_empty(), "never back");
-    assert!(r.handle_push(&push(6)).is_empty());
-    let nonce = r.start_request(Time(2_500_000));
-    assert!(r.handle_reply(nonce, &push(5)).is_empty(), "an answer that is older proves nothing either");
-    assert_eq!(r.known_version(&Scope::Routes), Version(6));
+    assert_eq!(reader.age(&Scope::Routes, Time(3_000_000)), Some(Span(1_000_000)));
+    assert!(reader.handle_push(&push(5)).is_empty(), "the version never goes back");
+    assert!(reader.handle_push(&push(6)).is_empty());
+    let nonce = reader.start_request(Time(2_500_000));
+    assert!(
+        reader.handle_reply(nonce, &push(5)).is_empty(),
+        "a reply with an older version proves nothing either"
+    );
+    assert_eq!(reader.known_version(&Scope::Routes), Version(6));
 }
 
 #[test]
 fn given_answers_pushes_and_repeats_in_any_order_when_read_then_the_version_never_goes_back() {
     for seed in 1..40 {
         let mut rand = SeededRandom(seed);
-        let mut home = ChangeHistory::default();
+        let mut publisher = ChangeHistory::default();
         let mut bodies: Vec<(u64, Vec<TopicUpdate>)> = Vec::new();
         for at in 1..20u64 {
-            home.advance(Version(at), routes(0..200 + at * rand.below(4)));
+            publisher.advance(Version(at), routes(0..200 + at * rand.below(4)));
             for back in [0, 1, 3] {
-                let body = home.update_since(Version(at.saturating_sub(back)));
+                let body = publisher.update_since(Version(at.saturating_sub(back)));
                 bodies.push((at, vec![item(at, Span(rand.below(500_000)), body)]));
             }
         }
-        let mut r = reader();
+        let mut reader = reader();
         let mut top = Version(0);
         for _ in 0..400 {
             let (_, items) = &bodies[rand.below(bodies.len() as u64) as usize];
             let now = Time(2_000_000 + rand.below(1_000_000));
-            let nonce = r.start_request(now);
-            let got = if rand.below(2) == 0 { r.handle_reply(nonce, items) } else { r.handle_push(items) };
-            for l in got {
-                assert!(l.at >= top, "seed {seed}: {} after {top}", l.at);
-                top = l.at;
+            let nonce = reader.start_request(now);
+            let got = if rand.below(2) == 0 {
+                reader.handle_reply(nonce, items)
+            } else {
+                reader.handle_push(items)
+            };
+            for change in got {
+                assert!(change.at >= top, "seed {seed}: {} after {top}", change.at);
+                top = change.at;
             }
         }
         assert!(top > Version(10), "seed {seed} reached {top}");
@@ -182,16 +199,16 @@
 
 #[test]
 fn given_steps_that_do_not_join_when_followed_then_nothing_is_taken() {
-    let mut home = ChangeHistory::default();
+    let mut publisher = ChangeHistory::default();
     for at in 1..6u64 {
-        home.advance(Version(at), routes(0..100 + at));
+        publisher.advance(Version(at), routes(0..100 + at));
     }
-    let UpdateBody::Steps(steps) = home.update_since(Version(2)) else { panic!("steps") };
+    let UpdateBody::Steps(steps) = publisher.update_since(Version(2)) else { panic!("steps") };
     let mut reader = ChangeHistory::default();
     reader.advance(Version(2), routes(0..102));
-    let torn: Vec<Arc<DeltaStep>> =
+    let incomplete: Vec<Arc<DeltaStep>> =
         steps.iter().enumerate().filter(|s| s.0 != 1).map(|s| s.1.clone()).collect();
-    assert!(!reader.apply_steps(&torn));
+    assert!(!reader.apply_steps(&incomplete));
     assert_eq!(reader.at, Version(2));
     assert!(reader.apply_steps(&steps));
     assert_eq!(reader.at, Version(5));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,3 +1,6 @@
+//! Membership in a large fleet: news, losses and returns are known everywhere soon, and neither a stalled
+//! node nor bad links make healthy nodes suspect.
+
 mod common;
 
 use common::{seeded, sound};
@@ -12,7 +15,7 @@
 use spindledock::sim::record::Fact;
 use std::collections::BTreeMap;
 
-fn grown(nodes: usize) -> Deployment {
+fn large_fleet(nodes: usize) -> Deployment {
     Deployment { assistants: 6, plains: 2, models: 6, adapters: 4, ..fleet_of(nodes) }
 }
 
@@ -22,7 +25,7 @@
     all
 }
 
-fn live(w: &World, place: usize) -> Vec<NodeId> {
+fn live_members(w: &World, place: usize) -> Vec<NodeId> {
     let Some(node) = &w.nodes[place].node else { return vec![] };
     let rows = node.views.members.iter().filter(|r| r.silence < QUIET_AFTER);
     let mut all: Vec<NodeId> = rows.map(|r| r.who.node).collect();
@@ -30,12 +33,12 @@
     all
 }
 
-fn agree(w: &World) -> bool {
+fn tables_agree(w: &World) -> bool {
     let all = ids(w);
-    (0..w.nodes.len()).filter(|n| w.nodes[*n].alive).all(|n| live(w, n) == all)
+    (0..w.nodes.len()).filter(|n| w.nodes[*n].alive).all(|n| live_members(w, n) == all)
 }
 
-fn quieted(w: &World, from: Time) -> Vec<String> {
+fn reported_quiet(w: &World, from: Time) -> Vec<String> {
     let rows = w.record.rows.iter().filter(|r| r.0 >= from);
     let mut all: Vec<String> = rows
         .filter_map(|r| match &r.1 {
@@ -48,7 +51,7 @@
     all
 }
 
-fn spread(w: &World, name: &str, from: Time) -> (usize, Span) {
+fn learned_within(w: &World, name: &str, from: Time) -> (usize, Span) {
     let mut first: BTreeMap<usize, Time> = BTreeMap::new();
     for (t, f) in w.record.rows.iter().filter(|r| r.0 >= from) {
         if let Fact::Learnt { place, scope, .. } = f
@@ -64,7 +67,7 @@
 #[test]
 fn given_a_hundred_nodes_when_a_runner_leaves_then_all_routers_know_within_100_ms_of_the_first() {
     seeded(1..3, |seed| {
-        let mut w = World::boot(grown(100), seed);
+        let mut w = World::boot(large_fleet(100), seed);
         w.run_for(Span::ms(5000));
         let (core, routers) = (w.controllers(), w.routers());
         let from = w.now;
@@ -72,8 +75,8 @@
         assert_eq!(w.answer(id, Span::ms(3000)), Some(200));
         w.run_for(Span::ms(500));
         let name = format!("service:{}", w.plan.plain_service);
-        let (heard, took) = spread(&w, &name, from);
-        assert_eq!(heard, routers.len(), "every router learnt it");
+        let (heard, took) = learned_within(&w, &name, from);
+        assert_eq!(heard, routers.len(), "every router learned it");
         assert!(took <= Span::ms(100), "the last one {took} after the first");
         sound(&w);
     });
@@ -82,18 +85,18 @@
 #[test]
 fn given_a_hundred_nodes_when_five_are_lost_and_return_as_new_then_it_is_known_everywhere() {
     seeded(1..3, |seed| {
-        let mut w = World::boot(grown(100), seed);
-        let up = w.until(Span::ms(5000), |w| agree(w));
+        let mut w = World::boot(large_fleet(100), seed);
+        let up = w.until(Span::ms(5000), |w| tables_agree(w));
         assert!(up.is_some(), "all know all");
         w.run_for(Span::ms(2000));
         let routers = w.routers();
         let lost: Vec<usize> =
             (0..5).map(|n| routers[(seed as usize * 17 + n * 13) % routers.len()]).collect();
         lost.iter().for_each(|n| w.kill_node(*n));
-        let known = w.until(Span::ms(4000), |w| agree(w));
+        let known = w.until(Span::ms(4000), |w| tables_agree(w));
         assert!(known.is_some(), "the loss of five is known everywhere");
         lost.iter().for_each(|n| w.start_node(*n));
-        let known = w.until(Span::ms(2500), |w| agree(w));
+        let known = w.until(Span::ms(2500), |w| tables_agree(w));
         assert!(known.is_some(), "their return is known everywhere");
         sound(&w);
     });
@@ -102,7 +105,7 @@
 #[test]
 fn given_letters_that_get_lost_when_nodes_die_and_return_then_tables_agree_again_soon() {
     seeded(1..5, |seed| {
-        let mut w = World::boot(grown(100), seed);
+        let mut w = World::boot(large_fleet(100), seed);
         w.run_for(Span::ms(4000));
         let routers = w.routers();
         w.loss = 300;
@@ -115,8 +118,8 @@
         }
         w.run_for(Span::ms(1000));
         w.loss = 0;
-        let healed = w.until(Span::ms(2500), |w| agree(w));
-        let worst: Vec<usize> = (0..w.nodes.len()).map(|n| live(&w, n).len()).collect();
+        let healed = w.until(Span::ms(2500), |w| tables_agree(w));
+        let worst: Vec<usize> = (0..w.nodes.len()).map(|n| live_members(&w, n).len()).collect();
         assert!(healed.is_some(), "{} nodes, known {worst:?}", ids(&w).len());
         sound(&w);
     });
@@ -125,7 +128,7 @@
 #[test]
 fn given_a_stalled_node_when_it_goes_on_then_it_makes_nobody_suspect_another() {
     seeded(1..5, |seed| {
-        let mut w = World::boot(grown(30), seed);
+        let mut w = World::boot(large_fleet(30), seed);
         w.run_for(Span::ms(4000));
         let routers = w.routers();
         let place = routers[(seed * 7) as usize % routers.len()];
@@ -133,8 +136,8 @@
         let from = w.now;
         w.freeze(place, Span::ms(3500));
         w.run_for(Span::ms(6000));
-        assert_eq!(quieted(&w, from), vec![own], "only the stalled one was ever suspected");
-        assert!(agree(&w));
+        assert_eq!(reported_quiet(&w, from), vec![own], "only the stalled one was ever suspected");
+        assert!(tables_agree(&w));
         sound(&w);
     });
 }
@@ -142,7 +145,7 @@
 #[test]
 fn given_bad_links_from_two_of_three_watchers_when_they_last_then_nobody_suspects() {
     seeded(1..5, |seed| {
-        let mut w = World::boot(grown(30), seed);
+        let mut w = World::boot(large_fleet(30), seed);
         w.run_for(Span::ms(4000));
         let routers = w.routers();
         let place = routers[(seed * 5) as usize % routers.len()];
@@ -158,8 +161,8 @@
             w.cuts.insert((there, place));
         }
         w.run_for(Span::ms(6000));
-        assert_eq!(quieted(&w, from), Vec::<String>::new());
+        assert_eq!(reported_quiet(&w, from), Vec::<String>::new());
         w.kill_node(place);
-        assert!(w.until(Span::ms(3000), |w| agree(w)).is_some(), "its loss is seen all the same");
+        assert!(w.until(Span::ms(3000), |w| tables_agree(w)).is_some(), "its loss is seen all the same");
     });
 }
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -1,3 +1,6 @@
+//! Malformed input of every kind is refused with a place and a remedy: configurations, settings, log files,
+//! frames and arbitrary bytes.
+
 use spindledock::daemon::config::read as read_node;
 use spindledock::fleet::read::read_text;
 use spindledock::json::Tree;
@@ -48,7 +51,7 @@
     }
 }
 
-/// Texts that no field may hold, written as JSON, and what is said of them.
+/// JSON texts that no field may contain, and a part of the error message for each.
 const BAD_TEXTS: [(&str, &str); 3] =
     [("\"\"", "is empty"), ("\"a\\nb\"", "control character"), ("LONG", "bytes long")];
 
--- a/tests/log_file.rs
+++ b/tests/log_file.rs
@@ -1,4 +1,5 @@
-//! The log file under every loss of power, refused write and damage that its folder can bring about.
+//! The log file after every power loss, failed write and damage that its folder can produce: what was
+//! acknowledged is read back, or a fault names the file.
 
 use spindledock::kernel::disk::{Disk, LogFile};
 use spindledock::kernel::fault::Kind;
@@ -8,14 +9,14 @@
 use spindledock::msg::Record;
 use spindledock::sim::folder::{Files, SimFolder};
 
-/// One call of a story: an append, or a rewrite that keeps only these records.
+/// A call of the log: an append of two records, or a rewrite that keeps only one.
 #[derive(Clone, Copy, Debug)]
 enum Call {
     Add(u64),
     Rewrite(u64),
 }
 
-const STORY: [Call; 8] = [
+const CALLS: [Call; 8] = [
     Call::Add(1),
     Call::Add(2),
     Call::Rewrite(3),
@@ -30,7 +31,7 @@
     Record::Ident { node: NodeId(n) }
 }
 
-fn carry_out(log: &mut LogFile, call: Call) -> bool {
+fn perform(log: &mut LogFile, call: Call) -> bool {
     let done = match call {
         Call::Add(n) => log.add(&[record(n), record(n)]),
         Call::Rewrite(n) => log.rewrite(&[record(n)]),
@@ -38,7 +39,7 @@
     done.is_ok()
 }
 
-/// What the log holds after the call.
+/// The records that the log holds after the call.
 fn after(before: &[Record], call: Call) -> Vec<Record> {
     match call {
         Call::Add(n) => [before, &[record(n), record(n)]].concat(),
@@ -46,25 +47,25 @@
     }
 }
 
-fn opened(folder: &SimFolder) -> LogFile {
+fn open_log(folder: &SimFolder) -> LogFile {
     LogFile::inside(Box::new(folder.clone()))
 }
 
-/// Reads what a loss of power has left, and goes on with it to see that it takes another batch.
+/// Reads what a power loss left, and appends a batch to see that the log still works.
 fn read_back(files: Files) -> Vec<Record> {
     let folder = SimFolder::default();
     folder.set_files(files.clone());
     let names: Vec<(&String, usize)> = files.iter().map(|(name, raw)| (name, raw.len())).collect();
-    let mut log = opened(&folder);
+    let mut log = open_log(&folder);
     let rows = log.load().unwrap_or_else(|fault| panic!("{fault}: {names:?}"));
-    log.add(&[record(99)]).expect("it goes on");
-    let more = opened(&folder).load().expect("sound");
+    log.add(&[record(99)]).expect("appends still work");
+    let more = open_log(&folder).load().expect("sound");
     assert_eq!(more, [&rows[..], &[record(99)]].concat(), "{names:?}");
     rows
 }
 
-/// Each state that a loss of power may leave holds all that was acknowledged, or that and the call under way.
-fn judge_every_loss(folder: &SimFolder, acknowledged: &[Record], under_way: &[Record]) -> usize {
+/// Checks that each state that a power loss may leave holds what was acknowledged, with or without the call under way.
+fn check_every_loss(folder: &SimFolder, acknowledged: &[Record], pending: &[Record]) -> usize {
     let left = folder.after_any_loss();
     for files in &left {
         let rows = match files.iter().all(|(_, raw)| raw.is_empty()) {
@@ -73,8 +74,8 @@
             false => read_back(files.iter().cloned().collect()),
         };
         assert!(
-            rows == acknowledged || rows == under_way,
-            "{rows:?} instead of {acknowledged:?} or {under_way:?}"
+            rows == acknowledged || rows == pending,
+            "{rows:?} instead of {acknowledged:?} or {pending:?}"
         );
     }
     left.len()
@@ -83,16 +84,16 @@
 #[test]
 fn given_appends_and_rewrites_when_power_goes_at_any_step_then_what_was_acknowledged_is_there() {
     let folder = SimFolder::default();
-    let mut log = opened(&folder);
+    let mut log = open_log(&folder);
     let (mut held, mut states) = (log.load().expect("empty"), 0);
-    for call in STORY {
+    for call in CALLS {
         folder.reach();
-        assert!(carry_out(&mut log, call));
+        assert!(perform(&mut log, call));
         let next = after(&held, call);
-        states += judge_every_loss(&folder, &held, &next);
+        states += check_every_loss(&folder, &held, &next);
         held = next;
         folder.reach();
-        judge_every_loss(&folder, &held, &held);
+        check_every_loss(&folder, &held, &held);
     }
     println!("{states} states");
 }
@@ -100,29 +101,29 @@
 #[test]
 fn given_any_step_that_fails_when_the_calls_are_repeated_and_power_goes_then_nothing_acknowledged_is_lost() {
     let mut states = 0;
-    for call in 1..STORY.len() {
+    for call in 1..CALLS.len() {
         for step in 0..12 {
             let folder = SimFolder::default();
-            let mut log = opened(&folder);
+            let mut log = open_log(&folder);
             let mut held = log.load().expect("empty");
-            for done in &STORY[..call] {
-                assert!(carry_out(&mut log, *done));
+            for done in &CALLS[..call] {
+                assert!(perform(&mut log, *done));
                 held = after(&held, *done);
             }
             folder.reach();
             folder.fail_after(step);
-            let next = after(&held, STORY[call]);
-            let done = carry_out(&mut log, STORY[call]);
+            let next = after(&held, CALLS[call]);
+            let done = perform(&mut log, CALLS[call]);
             if folder.failure_is_due() {
                 break;
             }
-            states += judge_every_loss(&folder, &held, &next);
+            states += check_every_loss(&folder, &held, &next);
             folder.reach();
             let mut held = if done { next } else { held };
-            for more in [&[Call::Add(50)][..], &STORY[call..]].concat().iter() {
-                assert!(carry_out(&mut log, *more), "it goes on after the failure");
+            for more in [&[Call::Add(50)][..], &CALLS[call..]].concat().iter() {
+                assert!(perform(&mut log, *more), "calls succeed after the failure");
                 let next = after(&held, *more);
-                states += judge_every_loss(&folder, &held, &next);
+                states += check_every_loss(&folder, &held, &next);
                 held = next;
                 folder.reach();
             }
@@ -133,19 +134,19 @@
 
 #[test]
 fn given_a_killed_process_when_it_reads_on_and_power_goes_then_what_it_read_is_still_there() {
-    for call in STORY {
+    for call in CALLS {
         for step in 0..12 {
             let folder = SimFolder::default();
-            let mut log = opened(&folder);
+            let mut log = open_log(&folder);
             log.load().expect("empty");
-            assert!(carry_out(&mut log, Call::Add(20)));
+            assert!(perform(&mut log, Call::Add(20)));
             folder.reach();
             folder.fail_after(step);
-            carry_out(&mut log, call);
+            perform(&mut log, call);
             if folder.failure_is_due() {
                 break;
             }
-            let read = opened(&folder).load().expect("sound");
+            let read = open_log(&folder).load().expect("sound");
             folder.reach();
             for files in folder.after_any_loss() {
                 assert_eq!(read_back(files.into_iter().collect()), read, "{call:?} failed at step {step}");
@@ -157,17 +158,17 @@
 #[test]
 fn given_a_disk_that_fills_when_a_rewrite_comes_then_the_older_file_stays_and_appends_go_on_with_room() {
     let folder = SimFolder::default();
-    let mut log = opened(&folder);
+    let mut log = open_log(&folder);
     log.load().expect("empty");
-    assert!(carry_out(&mut log, Call::Add(1)));
+    assert!(perform(&mut log, Call::Add(1)));
     let old = log.name();
     folder.set_full(true);
-    assert!(!carry_out(&mut log, Call::Rewrite(2)));
-    assert!(!carry_out(&mut log, Call::Add(3)));
+    assert!(!perform(&mut log, Call::Rewrite(2)));
+    assert!(!perform(&mut log, Call::Add(3)));
     assert_eq!(log.name(), old);
     folder.set_full(false);
-    assert!(carry_out(&mut log, Call::Add(4)));
-    assert_eq!(opened(&folder).load().expect("sound"), [record(1), record(1), record(4), record(4)]);
+    assert!(perform(&mut log, Call::Add(4)));
+    assert_eq!(open_log(&folder).load().expect("sound"), [record(1), record(1), record(4), record(4)]);
 }
 
 #[test]
@@ -177,7 +178,7 @@
     let raw = log_format::write_format_one(&rows);
     let torn = [&raw[..], &raw[..7]].concat();
     folder.set_files(Files::from([(log_format::FORMAT_ONE_NAME.to_string(), torn)]));
-    let mut log = opened(&folder);
+    let mut log = open_log(&folder);
     assert_eq!(log.load().expect("read"), rows);
     assert_eq!(log.name().as_deref(), Some("core.1.log"));
     for files in folder.after_any_loss() {
@@ -194,7 +195,7 @@
     let folder = SimFolder::default();
     let files = Files::from([("core.4.log".to_string(), raw)]);
     folder.set_files(files.clone());
-    let fault = opened(&folder).load().expect_err("refused");
+    let fault = open_log(&folder).load().expect_err("refused");
     assert_eq!(fault.kind, Kind::Format);
     assert!(fault.to_string().contains("core.4.log") && fault.to_string().contains("format 9"), "{fault}");
     assert_eq!(folder.files(), files);
@@ -207,7 +208,7 @@
     let last = raw.len() - 1;
     raw[last] ^= 1;
     folder.set_files(Files::from([("core.1.log".to_string(), raw.clone())]));
-    let mut log = opened(&folder);
+    let mut log = open_log(&folder);
     let fault = log.load().expect_err("refused");
     assert_eq!(fault.kind, Kind::Damage);
     assert!(fault.to_string().contains("restore"), "{fault}");
--- a/tests/named.rs
+++ b/tests/named.rs
@@ -1,3 +1,6 @@
+//! The list with an index by name: lookups after any change of the list, and an encoding equal to that of a
+//! plain list.
+
 use spindledock::fleet::config::Model;
 use spindledock::fleet::named::NamedList;
 use spindledock::kernel::ids::Name;
--- a/tests/news.rs
+++ b/tests/news.rs
@@ -1,3 +1,8 @@
+//! Routers never go back to older state, and nothing is acknowledged or distributed before it is synced.
+//!
+//! The first test guards against a router that restarts beside a relay node which is cut off from the
+//! controllers and answers with older topics; the second against a power failure right after an answer.
+
 mod common;
 
 use common::{seeded, sound};
@@ -7,7 +12,7 @@
 use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 
-fn cut(w: &mut World, a: usize, others: &[usize]) {
+fn cut_links(w: &mut World, a: usize, others: &[usize]) {
     for b in others {
         w.cuts.insert((a, *b));
         w.cuts.insert((*b, a));
@@ -20,22 +25,24 @@
         let mut w = World::boot(vanua(), seed);
         w.run_for(Span::ms(5000));
         let (core, routers) = (w.controllers(), w.routers());
-        let home = routers[(seed % 6) as usize];
-        let zone = w.nodes[home].place.domain.clone();
-        let mate =
-            *routers.iter().find(|r| **r != home && w.nodes[**r].place.domain == zone).expect("a mate");
-        cut(&mut w, home, &core);
+        let relay_node = routers[(seed % 6) as usize];
+        let zone = w.nodes[relay_node].place.domain.clone();
+        let neighbor = *routers
+            .iter()
+            .find(|r| **r != relay_node && w.nodes[**r].place.domain == zone)
+            .expect("another router of the zone");
+        cut_links(&mut w, relay_node, &core);
         let name = Name::from("p1");
         let id = w.ask(core[0], OperatorCall::MarkLeaving(name));
         assert_eq!(w.answer(id, Span::ms(3000)), Some(200));
         w.run_for(Span::ms(1000));
-        w.kill_node(mate);
+        w.kill_node(neighbor);
         w.run_for(Span::ms(20));
-        w.start_node(mate);
+        w.start_node(neighbor);
         w.run_for(Span::ms(1500));
         w.cuts.clear();
         w.run_for(Span::ms(10_000));
-        assert!(w.nodes[mate].table.fresh_routes(w.local(mate)).is_some(), "it serves again");
+        assert!(w.nodes[neighbor].table.fresh_routes(w.local(neighbor)).is_some(), "it serves again");
         sound(&w);
     });
 }
--- a/tests/order_again.rs
+++ b/tests/order_again.rs
@@ -1,4 +1,5 @@
-//! An order that is sent again: acknowledged for as long as it is remembered, never refused after it was taken.
+//! A change that is sent again is acknowledged for as long as it is remembered, and is never refused after it
+//! was taken.
 
 #[path = "common/adopt.rs"]
 mod adopt;
@@ -17,19 +18,19 @@
     o.w.nodes[place].node.as_ref().map_or(0, |n| n.views.state.ledger.taken_len())
 }
 
-/// The clear answer that one place gives in the end.
-fn clear(o: &mut Office, place: usize, base: u64, text: &str) -> u16 {
+/// Repeats the call at one node until the answer is final.
+fn final_answer(o: &mut Office, place: usize, base: u64, text: &str) -> u16 {
     let ends = (0..10).filter_map(|_| o.done(place, base, text));
-    ends.into_iter().find(|status| *status < 500).expect("a clear answer")
+    ends.into_iter().find(|status| *status < 500).expect("a final answer")
 }
 
-/// A whole configuration on top of revision `base`.
+/// A whole configuration that builds on revision `base`.
 fn whole(base: u64) -> String {
     format!("{} r{base}", base + 1)
 }
 
-/// The fleet's own changes, as its nodes send them to the head.
-fn internal_storm(o: &mut Office, count: u64) {
+/// Sends changes that the fleet makes itself, from all nodes to the head.
+fn send_internal_changes(o: &mut Office, count: u64) {
     for n in 0..count {
         let id = ChangeId::random(&mut o.w.rand);
         let place = n as usize % o.w.nodes.len();
@@ -46,7 +47,7 @@
     for n in 1..300 {
         assert_eq!(o.done(n as usize % 9, n, &whole(n)), Some(200));
     }
-    internal_storm(&mut o, 1200);
+    send_internal_changes(&mut o, 1200);
     for (n, place) in [(1, 4), (2, 0), (57, 7), (150, 1), (299, 8)] {
         assert_eq!(o.done(place, n, &whole(n)), Some(200), "{n} at {place}");
     }
@@ -59,12 +60,16 @@
     let mut o = Office::open(vanua(), 8);
     let most = TAKEN_CAPACITY as u64 + 20;
     for n in 0..most {
-        assert_eq!(clear(&mut o, n as usize % 9, n, &whole(n)), 200, "{n}");
+        assert_eq!(final_answer(&mut o, n as usize % 9, n, &whole(n)), 200, "{n}");
     }
     for (n, want) in [(0, 503), (3, 503), (19, 503), (20, 200), (most / 2, 200)] {
         assert_eq!(o.done(4, n, &whole(n)), Some(want), "{n}");
     }
-    assert_eq!(clear(&mut o, 5, 7, &format!("{} r", most + 5)), 409, "its revision was never forgotten");
+    assert_eq!(
+        final_answer(&mut o, 5, 7, &format!("{} r", most + 5)),
+        409,
+        "its revision was never forgotten"
+    );
 }
 
 #[test]
@@ -75,7 +80,7 @@
         for n in 1..40 {
             assert_eq!(o.done(3, n, &whole(n)), Some(200));
         }
-        internal_storm(&mut o, 700);
+        send_internal_changes(&mut o, 700);
         for lost in 0..3 {
             o.w.kill_node(lost);
             o.w.nodes[lost].disk.wipe();
@@ -124,11 +129,11 @@
         }
         o.send(entry, 7, "9 +early");
         o.w.run_for(Span::ms(200 * seed));
-        assert_eq!(clear(&mut o, 4, 7, "9 +early"), 409, "its base never came");
-        assert_eq!(clear(&mut o, 5, 2, "7 +b"), 200);
+        assert_eq!(final_answer(&mut o, 4, 7, "9 +early"), 409, "its base never came");
+        assert_eq!(final_answer(&mut o, 5, 2, "7 +b"), 200);
         o.w.cuts.clear();
         o.w.run_for(Span::ms(1000));
-        assert_eq!(clear(&mut o, 0, 7, "9 +early"), 409, "a refusal is final");
+        assert_eq!(final_answer(&mut o, 0, 7, "9 +early"), 409, "a refusal is final");
         assert_eq!(o.done(1, 7, "9 +other"), Some(200));
         o.all_have("9 a b other");
     });
--- a/tests/order_identity.rs
+++ b/tests/order_identity.rs
@@ -1,4 +1,4 @@
-//! The identity of an order, and the ledger that remembers it.
+//! The identity of a change, and the ledger that remembers which changes were taken or refused.
 
 mod common;
 
@@ -15,12 +15,12 @@
 use spindledock::msg::OperatorCall;
 use spindledock::sim::World;
 
-fn order(text: &str) -> ChangeId {
+fn change_id(text: &str) -> ChangeId {
     ChangeId::of_document(DocumentDigest::of(&[b"PUT", text.as_bytes()]))
 }
 
 fn adopt(state: &mut FleetState, base: u64, revision: u64) -> ChangeId {
-    let id = order(&format!("{base} {revision}"));
+    let id = change_id(&format!("{base} {revision}"));
     let config = Box::new(FleetConfig { revision, ..FleetConfig::default() });
     let change = Change::Adopt { id, base, config, stages: vec![] };
     state.fold(state.at.next(), &change);
@@ -50,7 +50,7 @@
 
 #[test]
 fn given_the_name_of_a_change_when_written_and_read_then_it_is_the_same_and_nothing_else_is_read() {
-    let id = order("x");
+    let id = change_id("x");
     assert_eq!(ChangeId::parse_name(&id.to_string()), Some(id.name));
     assert_eq!(ChangeId::parse_name(&"f".repeat(32)), Some(u128::MAX));
     for bad in ["", "c", "+5", "-5", "c 5", &"f".repeat(33)] {
@@ -93,7 +93,9 @@
     let id = adopt(&mut state, 0, 1);
     state.outcomes.clear();
     let copy: FleetState = bitcode::decode(&bitcode::encode(&state)).expect("a state");
-    assert!(matches!(copy.decision(id), Some(Decision::Ledger(LedgerEntry::Taken(order))) if order.id == id));
+    assert!(
+        matches!(copy.decision(id), Some(Decision::Ledger(LedgerEntry::Taken(change))) if change.id == id)
+    );
     assert_eq!(copy, state);
 }
 
@@ -101,7 +103,7 @@
 fn given_a_committed_refusal_when_the_order_itself_is_committed_later_then_it_is_not_taken() {
     let mut state = FleetState::default();
     adopt(&mut state, 0, 1);
-    let (id, text) = (order("5 7"), "its base never came".to_string());
+    let (id, text) = (change_id("5 7"), "its base never came".to_string());
     let refuse = |id| Change::Refuse {
         id,
         base: Some(5),
@@ -114,7 +116,7 @@
     adopt(&mut state, 1, 5);
     adopt(&mut state, 5, 7);
     assert_eq!(state.config.revision, 5, "it was refused for good");
-    let late = order("5 9");
+    let late = change_id("5 9");
     state.fold(state.at.next(), &refuse(late));
     assert_eq!(code(&state, late), None, "its base came before the refusal");
     adopt(&mut state, 5, 9);
--- a/tests/redirect.rs
+++ b/tests/redirect.rs
@@ -1,4 +1,4 @@
-//! A controller that hears no majority names another one to its callers.
+//! A controller that hears no majority names another one to its callers and does not answer itself.
 
 #[path = "common/adopt.rs"]
 mod adopt;
@@ -10,8 +10,8 @@
 use spindledock::launch::deployment::vanua;
 use spindledock::msg::Event;
 
-const CUT: Span = Span::ms(2000);
-const PATIENCE: Span = Span::ms(1000);
+const CUT_OFF_TIME: Span = Span::ms(2000);
+const ANSWER_LIMIT: Span = Span::ms(1000);
 
 #[test]
 fn given_a_controller_cut_off_when_it_is_asked_then_it_names_another_member_and_answers_nothing_itself() {
@@ -23,10 +23,10 @@
             w.cuts.insert((lost, other));
             w.cuts.insert((other, lost));
         }
-        w.run_for(CUT);
+        w.run_for(CUT_OFF_TIME);
         let id = w.fresh_id();
         w.operate(lost, Event::ReadCall { id, path: "source".into() });
-        w.run_for(PATIENCE);
+        w.run_for(ANSWER_LIMIT);
         let answer = &w.answers[&id];
         assert_eq!(answer.status, 503, "{}", answer.body);
         let named = answer.redirect.expect("another controller is named");
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,3 +1,5 @@
+//! The route table finds the same route as a plain scan, and splits give each service its share.
+
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use spindledock::fleet::FleetConfig;
 use spindledock::fleet::read::read_text;
@@ -17,15 +19,15 @@
     route_rows(&c)
 }
 
-/// Short words of few letters, so that hosts and prefixes meet often.
+/// Hosts and paths of few short words, so that many routes match.
 #[derive(Clone, Debug)]
-struct Place {
+struct Target {
     host: String,
     path: String,
 }
 
-impl Arbitrary for Place {
-    fn arbitrary(g: &mut Gen) -> Place {
+impl Arbitrary for Target {
+    fn arbitrary(g: &mut Gen) -> Target {
         let host = ["", "a", "b", "c"][usize::arbitrary(g) % 4].to_string();
         let n = usize::arbitrary(g) % 4;
         let steps = (0..n).map(|_| ["", "x", "y", "xy", "\u{e9}"][usize::arbitrary(g) % 5]);
@@ -33,13 +35,13 @@
         if bool::arbitrary(g) && !path.ends_with('/') {
             path.push('/');
         }
-        Place { host, path }
+        Target { host, path }
     }
 }
 
 #[test]
 fn given_any_routes_when_one_is_looked_up_then_the_index_finds_what_a_plain_scan_finds() {
-    fn test(routes: Vec<Place>, asked: Vec<Place>) -> bool {
+    fn test(routes: Vec<Target>, asked: Vec<Target>) -> bool {
         let mut all: Vec<(String, String)> = routes.into_iter().map(|p| (p.host, p.path)).collect();
         all.sort();
         all.dedup();
@@ -54,7 +56,7 @@
         })
     }
     let rng = Gen::from_size_and_seed(40, 11);
-    QuickCheck::new().tests(400).rng(rng).quickcheck(test as fn(Vec<Place>, Vec<Place>) -> bool);
+    QuickCheck::new().tests(400).rng(rng).quickcheck(test as fn(Vec<Target>, Vec<Target>) -> bool);
 }
 
 #[test]
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Each kind of message goes over the wire and comes back as it was.
+//! Every kind of message decodes to what was encoded, and a shortened or lengthened one never decodes to
+//! another kind.
 
 use spindledock::chain::acceptor::AcceptedView;
 use spindledock::chain::ledger_transfer::{LeaseLedger, LedgerRow};
@@ -165,9 +166,9 @@
 #[test]
 fn given_each_kind_of_message_when_packed_and_unpacked_then_it_is_the_same() {
     for msg in messages() {
-        let letter = envelope(msg);
-        let raw = wire::encode_envelope(&letter);
-        assert_eq!(wire::decode_envelope(body(&raw)).expect("it decodes"), letter);
+        let sent = envelope(msg);
+        let raw = wire::encode_envelope(&sent);
+        assert_eq!(wire::decode_envelope(body(&raw)).expect("it decodes"), sent);
     }
 }
 
@@ -175,15 +176,15 @@
 fn given_each_kind_of_message_when_cut_short_or_lengthened_then_nothing_crashes_and_no_other_kind_comes_out()
 {
     for msg in messages() {
-        let letter = envelope(msg);
-        let raw = wire::encode_envelope(&letter);
+        let sent = envelope(msg);
+        let raw = wire::encode_envelope(&sent);
         let body = body(&raw);
         for len in 0..body.len() {
             let cut = wire::decode_envelope(&body[..len]);
             let kind = |m: &Msg| std::mem::discriminant(m);
-            assert!(cut.is_err() || kind(&cut.expect("decoded").msg) == kind(&letter.msg));
+            assert!(cut.is_err() || kind(&cut.expect("decoded").msg) == kind(&sent.msg));
         }
         let longer = [body, &[0]].concat();
-        assert!(wire::decode_envelope(&longer).is_err(), "{letter:?}");
+        assert!(wire::decode_envelope(&longer).is_err(), "{sent:?}");
     }
 }
