--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -126,7 +126,7 @@
 move-runners|src/forwarding/migration.rs|if self.opened >= self.order.tries \{\s+return;|if false { return;|forwarding most_runners
 order-digest|src/kernel/change_id.rs|hasher.update\(part\);|hasher.update(&part[..part.len().min(2)]);|order_identity digests_differ
 order-digest-lengths|src/kernel/change_id.rs|hasher.update\(\(part.len\(\) as u64\).to_le_bytes\(\)\);||order_identity digests_differ
-ledger-apart|src/fleet/ledger.rs|if !order.id.is_operators\(\) \{\s+return;\s+\}\s+self.taken|self.taken|order_identity thousands_of_internal
+ledger-apart|src/fleet/ledger.rs|if !change.id.is_operators\(\) \{\s+return;\s+\}\s+self.taken|self.taken|order_identity thousands_of_internal
 ledger-asked|src/fleet/state.rs|self.ledger.find\(id\).map\(Decision::Ledger\)|None|order_again older_than_the_memory
 ledger-in-snapshot|src/chain/recovery.rs|let state = Box::new\(state.clone\(\)\);|let mut state = Box::new(state.clone()); state.ledger = Default::default(); state.outcomes.clear();|order_again each_copy_has_it
 beyond-memory|src/chain/adoption.rs|if forgotten \{|if false {|order_again older_than_the_memory
