--- a/src/chain/acceptor.rs
+++ b/src/chain/acceptor.rs
@@ -1,8 +1,8 @@
-//! The acceptor: one voter's side of the agreement on the next view.
+//! The acceptor: a voter's side of the agreement on the next view.
 //!
-//! There is one register for each view number. A promise or an acceptance is synced before it is answered, so
-//! that a voter that restarts still knows what it said. A voter whose disk is lost comes back under another id
-//! and has no vote.
+//! There is one Paxos register for each view number. A promise or an acceptance is synced to disk before it is
+//! answered, so a restarted voter still knows what it said. A voter that lost its disk comes back with a new id and
+//! has no vote.
 #![deny(missing_docs)]
 
 use super::core::{Chain, SILENCE_LIMIT};
@@ -15,17 +15,17 @@
 use crate::msg::*;
 use bitcode::{Decode, Encode};
 
-/// How long after a promise no lease is granted, so that the proposal comes through.
+/// How long a voter grants no lease after a promise, so that the proposal can succeed.
 const GRANT_PAUSE: Span = Span::ms(1000);
-/// From this silence on, a member counts as lost also for a voter that still hears it.
+/// A member that was silent to the proposer for this long counts as lost even for a voter that still hears it.
 const CERTAIN_LOSS_SILENCE: Span = Span::ms(1000);
-/// How long an `Accept` that waits for a lease to run out is kept.
+/// How long an `Accept` is kept that waits for a lease to expire.
 const DEFERRED_TIMEOUT: Span = Span::ms(2000);
-/// A voter that accepted a view and sees no decision finishes the agreement after this wait, plus a random part.
+/// A voter that accepted a view and sees no decision proposes it itself after this wait, plus a random jitter.
 const FINISH_AFTER: Span = Span::ms(500);
 const FINISH_JITTER_MS: u64 = 700;
 
-/// A view that was accepted, and under which ballot.
+/// An accepted view and its ballot.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct AcceptedView {
     /// The ballot of the proposal.
@@ -34,44 +34,44 @@
     pub view: View,
 }
 
-/// An `Accept` that waits until the lease granted by this voter has run out.
+/// An `Accept` that waits until the lease granted by this voter has expired.
 #[derive(Clone)]
 pub struct DeferredAccept {
     /// The proposer.
     pub from: NodeId,
-    /// What it asks to accept.
+    /// The view to accept.
     pub proposal: AcceptedView,
-    /// When it came.
+    /// When it was received.
     pub since: Time,
 }
 
-/// What a voter has promised and accepted for the view number after its own.
+/// What a voter has promised and accepted for the next view number.
 #[derive(Clone, Default)]
 pub struct Acceptor {
-    /// The number that the register is for.
+    /// The view number of this register.
     pub view_no: ViewNo,
     /// The highest ballot promised; lower ones are refused.
     pub promised: Ballot,
     /// The view accepted last.
     pub accepted: Option<AcceptedView>,
-    /// When it was accepted, or this voter last tried to have it decided.
+    /// When it was accepted, or when this voter last proposed it itself.
     pub accepted_at: Time,
     /// Until when a lease that this voter granted may be in use.
     pub lease_hold_until: Time,
-    /// Who holds that lease, and the time of its request by that tail's clock.
+    /// The holder of that lease, and the time of its request on the holder's clock.
     pub granted_lease: Option<(NodeId, Time)>,
-    /// Until when no lease is granted because of a promise.
+    /// Until when no lease is granted, because of a promise.
     pub grants_paused_until: Time,
-    /// The acceptance that waits for `hold`.
+    /// The `Accept` that waits for `lease_hold_until`.
     pub deferred: Option<DeferredAccept>,
-    /// The highest round seen, for this node's own next ballot.
+    /// The highest ballot round seen, from which this node's own next ballot is derived.
     pub highest_round: u64,
-    /// Until when this node proposes nothing after it lost to a higher ballot.
+    /// Until when this node makes no proposal, after it lost to a higher ballot.
     pub backoff_until: Time,
 }
 
 impl Acceptor {
-    /// Takes up a synced promise, or acceptance, after a restart.
+    /// Restores a promise or an acceptance from disk.
     pub fn restore_record(&mut self, view_no: ViewNo, ballot: Ballot, view: Option<View>) {
         self.view_no = view_no;
         self.promised = self.promised.max(ballot);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// What must be on disk for `restore_record`.
+    /// The records from which `restore_record` rebuilds this register.
     pub fn records(&self) -> Vec<Record> {
         let mut rows = Vec::new();
         if let Some(AcceptedView { ballot, view }) = &self.accepted {
@@ -93,20 +93,20 @@
         rows
     }
 
-    /// Begins the register after `view`; a lease granted before still counts.
+    /// Starts the register for the view after `view`. A lease granted before remains in force.
     pub fn reset(&mut self, view: &View) {
         let (lease_hold_until, granted_lease) = (self.lease_hold_until, self.granted_lease);
         *self = Acceptor { view_no: view.no.next(), lease_hold_until, granted_lease, ..Acceptor::default() };
     }
 
-    /// Whether a lease may be granted: not while a next view is under way.
+    /// Whether a lease may be granted: not while a view change is under way.
     pub fn may_grant(&self, now: Time) -> bool {
         self.accepted.is_none() && self.deferred.is_none() && now >= self.grants_paused_until
     }
 }
 
 impl Chain {
-    /// Answers a proposer's `Prepare`.
+    /// Answers a `Prepare` of a proposer.
     pub fn on_prepare(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
         let ChainMsg::Prepare { view_no, ballot, lost_member, silence } = msg else { return };
         if *lost_member == Some(self.node_id) {
@@ -117,14 +117,15 @@
         }
     }
 
-    /// Answers a proposer's `Accept`, perhaps later.
+    /// Answers an `Accept` of a proposer, now or once a lease has expired.
     pub fn on_accept(&mut self, from: NodeId, ballot: Ballot, view: &View, ctx: &mut Context) {
         if self.can_vote_on(from, view.no, ctx) {
             self.accept_or_defer(from, AcceptedView { ballot, view: view.clone() }, ctx);
         }
     }
 
-    /// Whether this node has a vote on view `no` and can sync it; who asks about a view already decided is told it.
+    /// Whether this node has a vote on view `view_no` and room to sync it. A proposer whose view number is already
+    /// decided is sent the current view.
     fn can_vote_on(&mut self, from: NodeId, view_no: ViewNo, ctx: &mut Context) -> bool {
         let Some(view) = self.view.clone() else { return false };
         if view_no <= view.no {
@@ -136,7 +137,8 @@
             && ctx.free_disk_bytes >= MIN_WRITE_BYTES
     }
 
-    /// Whether the member named lost is so for this voter too: unheard here, or by the proposer for long.
+    /// Whether this voter agrees that the member is lost: it is silent here too, or was silent to the proposer for
+    /// `CERTAIN_LOSS_SILENCE`.
     fn believes_lost(&self, lost_member: Option<NodeId>, silence: Span, now: Time) -> bool {
         let Some(lost) = lost_member else { return true };
         let heard = self.last_alive_at.get(&lost).copied().unwrap_or_default();
@@ -180,7 +182,7 @@
         ctx.chain(from, ChainMsg::Accepted { view_no, ballot });
     }
 
-    /// Refuses a ballot below the one promised; else promises this one.
+    /// Refuses a ballot below the promised one; otherwise promises this one.
     fn refuses(&mut self, from: NodeId, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) -> bool {
         self.acceptor.highest_round = self.acceptor.highest_round.max(ballot.round);
         if ballot < self.acceptor.promised {
@@ -197,7 +199,7 @@
         now < self.acceptor.lease_hold_until || self.is_in_restart_wait(now)
     }
 
-    /// Accepts what waited for a lease, once that has run out or was returned.
+    /// Accepts the deferred view once the lease has expired or was returned.
     pub fn accept_deferred(&mut self, ctx: &mut Context) {
         if !self.lease_may_run(ctx.now)
             && let Some(d) = self.acceptor.deferred.take()
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Accepts what waited for a lease, gives up an old proposal, and finishes one that was accepted here.
+    /// Timed work: accepts a deferred view, drops a proposal that timed out, and proposes an accepted view that
+    /// nobody has decided.
     pub fn acceptor_tick(&mut self, ctx: &mut Context) {
         self.accept_deferred(ctx);
         if self.proposal.as_ref().is_some_and(|b| ctx.now.since(b.started_at) > PROPOSAL_TIMEOUT) {
@@ -224,8 +227,8 @@
     }
 }
 
-/// Whether the lease of `old` must have run out before `next` is accepted. With the same tail and voters it
-/// need not: nothing is committed in `next` without that tail.
+/// Whether the lease of `old` must have expired before `next` is accepted. Not with the same tail and voters:
+/// nothing is committed in `next` without that tail.
 fn ends_lease(next: &View, old: &View) -> bool {
     next.tail() != old.tail() || next.voters != old.voters
 }
--- a/src/chain/adoption.rs
+++ b/src/chain/adoption.rs
@@ -1,8 +1,8 @@
-//! Changes that come in an operator's own format: one is under way at a time, in the order of their bases.
+//! Configurations in the operator's own format: one is under way at a time, in the order of their base revisions.
 //!
-//! A refusal is told only when it is final. Revisions only rise, so an order whose base or whose revision has
-//! been passed can never be in force again. Any other refusal is committed first, as a change of its own: a copy
-//! of the order that is still on its way then finds it.
+//! A refusal is answered only when it is final. Revisions only rise, so a configuration whose base or own revision
+//! is behind the current one can never take effect again. Any other refusal is first committed, as a change of its
+//! own, so that a copy of the same call that is still under way finds it.
 
 use super::adoption_queue::{SubmittedAdoption, WaitingAdoption};
 use super::change_queue::{ChangeQueue, QUEUE_CAPACITY, RESUBMIT_AFTER, queue_full_answer};
@@ -15,24 +15,25 @@
 use crate::msg::*;
 use std::sync::OnceLock;
 
-/// How long an order waits for a base that nobody has sent yet.
+/// How long a configuration waits for a base revision that nobody has sent yet.
 const BASE_WAIT: Span = Span::ms(600);
-/// What is to be done with a waiting order now.
+
+/// What to do next with a waiting configuration.
 enum AdoptionStep {
     Wait,
-    /// A clear or unclear answer that needs nothing committed.
+    /// An answer that needs nothing committed.
     Answer(Answer),
-    /// A refusal that counts once it is committed.
+    /// A refusal that must be committed before it is answered.
     Refuse(OutcomeCode, String, Answer),
     Adopt(Box<FleetConfig>),
 }
 
 impl ChangeQueue {
-    /// Queues an order in the operator's own format.
+    /// Queues a configuration in the operator's own format.
     pub(super) fn queue_adoption(&mut self, id: ChangeId, op: &OperatorCall, ctx: &mut Context) {
         let OperatorCall::PlatformConfig { base, part, text } = op else { return };
         if self.adoptions.side.is_none() {
-            let text = "this node takes configurations in the product's own format only";
+            let text = "this node accepts configurations in the native format only";
             return self.finish(id, Answer::new(400, "bad-order", text, 0), ctx);
         }
         if self.adoptions.waiting.len() >= QUEUE_CAPACITY {
@@ -52,7 +53,7 @@
         self.adopt_next(ctx);
     }
 
-    /// Decides on the waiting orders, until one is on its way.
+    /// Decides on the waiting configurations, until one is submitted to the chain.
     pub(super) fn adopt_next(&mut self, ctx: &mut Context) {
         let state = &ctx.views.state;
         self.adoptions.waiting.retain(|adoption| state.decision(adoption.id).is_none());
@@ -97,7 +98,8 @@
         }
     }
 
-    /// The base is yet to come: wait for it, as long as it may.
+    /// The base is ahead of the current revision: waits for it for `BASE_WAIT`, or while a waiting configuration
+    /// would reach it, and then refuses.
     fn base_is_ahead(&self, adoption: &WaitingAdoption, base: u64, ctx: &Context) -> AdoptionStep {
         let is_refusing =
             adoption.refusal_submitted_at.is_some_and(|since| ctx.now.since(since) < RESUBMIT_AFTER);
@@ -111,7 +113,8 @@
         AdoptionStep::Refuse(code, text, answer)
     }
 
-    /// The base was passed: the order can never be in force from now on, but it may have been.
+    /// The base is behind the current revision: the configuration can no longer take effect, but may have done so
+    /// before.
     fn base_is_behind(&self, adoption: &WaitingAdoption, base: u64, ctx: &Context) -> AdoptionStep {
         let ledger = &ctx.views.state.ledger;
         let forgotten = ledger.may_have_forgotten(Some(base), None)
@@ -123,7 +126,7 @@
         AdoptionStep::Answer(Answer::new(status(code), &code.to_string(), &stale_text(base, ctx), 0))
     }
 
-    /// The base is the current one, or none is stated: read the document on top of what is in force.
+    /// The base is the current revision, or none is given: reads the document against the current configuration.
     fn read_document(&self, adoption: &WaitingAdoption, ctx: &Context) -> AdoptionStep {
         let Some(side) = &self.adoptions.side else { return AdoptionStep::Wait };
         if adoption.refusal_submitted_at.is_some_and(|since| ctx.now.since(since) < RESUBMIT_AFTER) {
@@ -177,5 +180,5 @@
 
 fn stale_text(base: u64, ctx: &Context) -> String {
     let current = ctx.views.state.config.revision;
-    format!("it builds on {base}; the current revision is {current}; read it and send again")
+    format!("it builds on {base}, but the current revision is {current}; read that and send again")
 }
--- a/src/chain/adoption_queue.rs
+++ b/src/chain/adoption_queue.rs
@@ -1,4 +1,4 @@
-//! The orders in an operator's own format that wait at the head, and the one that is on its way.
+//! The configurations in the operator's own format that wait at the head, and the one submitted to the chain.
 
 use crate::fleet::FleetConfig;
 use crate::fleet::routes::RouteTable;
@@ -12,20 +12,20 @@
 use std::sync::Arc;
 use std::sync::OnceLock;
 
-/// How long a router's account of its live routes is used.
+/// How long a router's report of its route traffic is used.
 const LIVE_ROUTES_TTL: Span = Span::ms(6000);
 
-/// An order that is to be decided on.
+/// A configuration that is not decided yet.
 #[derive(Clone)]
 pub(super) struct WaitingAdoption {
     pub id: ChangeId,
     pub base: Option<u64>,
     pub part: bool,
     pub text: String,
-    /// The revision that it would make, if its document names one; read when it is first asked for.
+    /// The revision that its document names, if any; read when it is first needed.
     pub revision: OnceLock<Option<u64>>,
     pub since: Time,
-    /// When its refusal was handed to the chain.
+    /// When its refusal was submitted to the chain.
     pub refusal_submitted_at: Option<Time>,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// The order whose adoption was handed to the chain.
+/// The configuration whose adoption was submitted to the chain.
 #[derive(Clone)]
 pub(super) struct SubmittedAdoption {
     pub id: ChangeId,
@@ -47,7 +47,7 @@
     pub revision: u64,
 }
 
-/// The orders that wait at the head, and the one that is on its way through the chain.
+/// The configurations that wait at the head, and the one submitted to the chain.
 #[derive(Clone, Default)]
 pub struct AdoptionQueue {
     pub(super) side: Option<Arc<dyn OperatorProtocol>>,
@@ -57,18 +57,18 @@
 }
 
 impl AdoptionQueue {
-    /// A queue that reads documents by `side`.
+    /// A queue that reads documents in the format of `side`.
     pub fn new(side: Option<Arc<dyn OperatorProtocol>>) -> AdoptionQueue {
         AdoptionQueue { side, ..AdoptionQueue::default() }
     }
 
-    /// Whether the order waits here or is on its way.
+    /// Whether the configuration waits here or is submitted.
     pub fn contains(&self, id: ChangeId) -> bool {
         self.waiting.iter().any(|adoption| adoption.id == id)
             || self.submitted.as_ref().is_some_and(|adoption| adoption.id == id)
     }
 
-    /// Notes that the order's adoption or refusal was committed.
+    /// Records that the adoption or refusal was committed.
     pub fn on_committed(&mut self, id: ChangeId) {
         if self.submitted.as_ref().is_some_and(|adoption| adoption.id == id) {
             self.submitted = None;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Keeps a router's account of the routes that it used lately.
+    /// Keeps a router's report of its recent traffic by route.
     pub fn note_live_routes(&mut self, from: NodeId, now: Time, tell: &RouterReport) {
         if self.side.is_some() && !tell.live.is_empty() {
             self.live_routes.insert(from, (now, tell.live.clone()));
@@ -91,13 +91,14 @@
         self.submitted = None;
     }
 
-    /// Whether an order that is here would make the revision.
+    /// Whether a configuration that waits or is submitted would lead to `revision`.
     pub(super) fn will_reach_revision(&self, revision: u64) -> bool {
         self.submitted.as_ref().is_some_and(|adoption| adoption.revision == revision)
             || self.waiting.iter().any(|adoption| adoption.yields_revision(revision, self.side.as_deref()))
     }
 
-    /// What the candidate would do to the requests that routers took lately. It is told, and refuses nothing.
+    /// What the new configuration would do to the recent requests of the routers. It is only reported, and refuses
+    /// nothing.
     pub(super) fn rehearse(&mut self, config: &FleetConfig, current: &FleetConfig, now: Time) -> StageFigure {
         self.live_routes.retain(|_, account| now.since(account.0) < LIVE_ROUTES_TTL);
         if config.services == current.services {
--- a/src/chain/change_queue.rs
+++ b/src/chain/change_queue.rs
@@ -1,7 +1,9 @@
-//! The head's queue of changes: what operators and other nodes ask for, until its end is committed and told.
+//! The head's queue of operator calls: each is kept until its outcome is committed and answered.
 //!
-//! An answer is given only from what is committed. A change that is known, taken or refused, is answered from
-//! the replicated state; one that is new goes through the chain, and whoever asked is told its committed end.
+//! Answers are given only from committed state. A call whose change was accepted or refused before is answered from
+//! the replicated state. A new one is submitted to the chain, and its caller gets the committed outcome.
+//! `read_index` proves that the head is current before it decides; `own_change` and `adoption` handle
+//! configurations in the native and in the operator's format.
 
 use crate::distribution::subscribers::Publisher;
 use crate::fleet::state::*;
@@ -18,21 +20,22 @@
 use super::read_index::ReadIndex;
 use super::reply::{can_answer, decided};
 
-/// How many changes wait at the head, for each of the two formats.
+/// How many changes may wait at the head, for each of the two formats.
 pub(super) const QUEUE_CAPACITY: usize = 64;
-/// After this a change that was handed to the chain and did not end is handed to it again.
+/// A change that was submitted to the chain and has no outcome after this time is submitted again.
 pub(super) const RESUBMIT_AFTER: Span = Span::ms(2000);
 
-/// The changes that wait at the head, and the nodes that wait for their ends.
+/// The component of the controllers that takes operator calls, answers reads at the tail and sends updates to
+/// routers.
 #[derive(Clone, Default)]
 pub struct ChangeQueue {
     pub(super) waiting_changes: VecDeque<(ChangeId, OperatorCall)>,
-    /// Who waits for the end of a change, and under which attempt.
+    /// The node that waits for the outcome of each change, and its attempt number.
     callers: BTreeMap<ChangeId, (NodeId, u64)>,
     submitted: BTreeMap<ChangeId, Time>,
     leaving_submitted: BTreeMap<Name, Time>,
     pub(super) proposed_at: Option<Time>,
-    /// Full answers to changes whose refusal is on its way through the chain.
+    /// The full answers to changes whose refusal was submitted to the chain.
     pub(super) pending_refusals: BTreeMap<ChangeId, Answer>,
     pub(super) read_index: ReadIndex,
     pub(super) adoptions: AdoptionQueue,
@@ -40,12 +43,13 @@
 }
 
 impl ChangeQueue {
-    /// A queue that takes configurations in the format of `side` too.
+    /// A queue that also takes configurations in the format of `side`.
     pub fn new(side: Option<Arc<dyn OperatorProtocol>>) -> ChangeQueue {
         ChangeQueue { adoptions: AdoptionQueue::new(side), ..ChangeQueue::default() }
     }
 
-    /// Decides on an order. The head's state was proven to be current after the order arrived (`read_index`).
+    /// Decides on an operator call. The head's state was confirmed as current after the call arrived
+    /// (`read_index`).
     pub(super) fn decide(
         &mut self,
         from: NodeId,
@@ -91,7 +95,7 @@
             || self.submitted.get(&id).is_some_and(|since| ctx.now.since(*since) < RESUBMIT_AFTER)
     }
 
-    /// Tells whoever asked the committed end of a change, if it may be told; whether it did.
+    /// Answers the caller of a change whose outcome is committed and may be told. Returns whether it did.
     fn answer_if_decided(&mut self, id: ChangeId, ctx: &mut Context) -> bool {
         let decision = ctx.views.state.decision(id).filter(|decision| can_answer(decision, ctx.views));
         let Some(decision) = decision else { return false };
@@ -102,7 +106,7 @@
         true
     }
 
-    /// Answers whoever waits for the change and forgets it.
+    /// Answers the caller of a change and forgets it.
     pub(super) fn finish(&mut self, id: ChangeId, answer: Answer, ctx: &mut Context) {
         self.submitted.remove(&id);
         if let Some((caller, attempt)) = self.callers.remove(&id) {
@@ -110,6 +114,7 @@
         }
     }
 
+    /// Submits a change for each runner that a router reports as leaving and the state does not show so yet.
     fn submit_leaving(&mut self, tell: &RouterReport, ctx: &mut Context) {
         if !ctx.views.role.is_head
             || !ctx.views.role.is_ready
@@ -129,12 +134,14 @@
         }
     }
 
-    /// Hands a change to the chain.
+    /// Submits a change to the chain.
     pub(super) fn submit(&mut self, id: ChangeId, change: Change, ctx: &mut Context) {
         self.submitted.insert(id, ctx.now);
         ctx.publish(JournalEvent::Submitted(Arc::new(change)));
     }
 
+    /// Answers all callers whose outcome is known by now, and starts what waits; on other nodes than the head,
+    /// clears the queue.
     fn answer_decided(&mut self, ctx: &mut Context) {
         let waiting: Vec<ChangeId> = self.callers.keys().copied().collect();
         for id in waiting {
@@ -154,7 +161,7 @@
         }
     }
 
-    /// Forgets what waits: only the head answers, and entry nodes send again to the new one.
+    /// Forgets all that waits: only the head answers, and entry nodes resend to the new head.
     fn forget_waiting(&mut self) {
         self.waiting_changes.clear();
         self.adoptions.clear();
@@ -164,10 +171,11 @@
     }
 }
 
-/// Why nothing can be written now. It says nothing of the change itself: an earlier try may have been taken.
+/// The reason why nothing can be written now. It says nothing about the change: an earlier attempt may have
+/// succeeded.
 fn write_obstacle(ctx: &Context) -> Option<Answer> {
     if ctx.free_disk_bytes < NEARLY_FULL_BYTES && !ctx.views.role.peers_have_room {
-        let text = "the head's disk is nearly full and nothing was written; free room there";
+        let text = "the head's disk is nearly full and nothing was written; free some space there";
         return Some(Answer::new(507, "disk-full", text, 5));
     }
     if ctx.views.role.copies < ctx.views.role.required_copies {
@@ -176,15 +184,15 @@
     None
 }
 
-/// The answer to a change that the chain has too few members for.
+/// The answer to a change while the chain has too few members.
 pub(super) fn too_few_copies_answer() -> Answer {
-    let text = "the chain has too few members left and takes no change; bring back a controller";
+    let text = "the chain has too few members to accept changes; bring back a controller";
     Answer::new(503, "too-few-copies", text, 2)
 }
 
-/// The answer to a change that finds the queue full.
+/// The answer to a change when the queue is full.
 pub(super) fn queue_full_answer() -> Answer {
-    Answer::new(503, "inbox-full", "too many changes wait; send it again later", 1)
+    Answer::new(503, "inbox-full", "too many changes are waiting; send it again later", 1)
 }
 
 impl Component for ChangeQueue {
--- a/src/chain/core.rs
+++ b/src/chain/core.rs
@@ -1,3 +1,5 @@
+//! The `Chain` component: one controller's state in the chain, and the dispatch of events to the modules around it.
+
 use super::acceptor::Acceptor;
 use super::founding::Founder;
 use super::join::Joiner;
@@ -15,41 +17,73 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// How often a member sends heartbeats to the other members and voters.
 pub const HEARTBEAT_INTERVAL: Span = Span::ms(150);
+/// A node that has sent nothing for this long counts as lost.
 pub const SILENCE_LIMIT: Span = Span::ms(600);
 
+/// The state of one controller in the chain.
 #[derive(Clone)]
 pub struct Chain {
+    /// The fleet that this node belongs to; 0 before it has joined one.
     pub fleet: FleetId,
+    /// The newest decided view that this node knows.
     pub view: Option<View>,
+    /// The entries appended here, committed or not.
     pub log: ReplicationLog,
+    /// The last version applied to the state.
     pub committed: Version,
+    /// The last entry held when the view was installed. A new head acts as head only once it has applied all of
+    /// them.
     pub inherited_up_to: Version,
+    /// Whether this member holds all that was committed before the current view.
     pub is_ready: bool,
+    /// The last view in which it was ready, as synced to disk.
     pub ready_in_view: Option<ViewNo>,
+    /// What the next member of the chain has synced, and what was sent to it.
     pub successor: SuccessorProgress,
+    /// When each node last sent something that shows it to be working; see `note_heard`.
     pub last_alive_at: BTreeMap<NodeId, Time>,
+    /// When anything last came from each node, even from one that cannot write.
     pub last_reached_at: BTreeMap<NodeId, Time>,
+    /// This node's side of the agreement as a voter.
     pub acceptor: Acceptor,
+    /// This node's own proposal of the next view, while one is under way.
     pub proposal: Option<ViewProposal>,
+    /// The tail's lease, if this node is the tail.
     pub lease: Lease,
+    /// State kept while joining the chain.
     pub joiner: Joiner,
+    /// State kept while founding a fleet.
     pub founder: Founder,
+    /// When heartbeats were last sent.
     pub heartbeat_sent_at: Time,
+    /// The state from the snapshot on disk, published at start.
     pub restored_state: Option<Arc<FleetState>>,
+    /// The id of this node.
     pub node_id: NodeId,
+    /// When this process started.
     pub started_at: Time,
+    /// When the last tick ran.
     pub ticked_at: Time,
+    /// Whether no majority of the voters was heard at the last tick.
     pub is_isolated: bool,
+    /// When the current view was installed here.
     pub view_installed_at: Time,
+    /// The version that the next member and all members after it have synced, as it reported.
     pub successor_synced_to_tail: Version,
+    /// What each other controller said of itself in its last heartbeat.
     pub peers: BTreeMap<NodeId, PeerState>,
+    /// Set once this node was told to stop.
     pub departure: Option<Departure>,
+    /// When this node last became ready.
     pub ready_since: Time,
+    /// The readiness that was last reported to the process (`Effect::Ready`).
     pub(super) has_reported_ready: bool,
 }
 
 impl Chain {
+    /// A chain member with the state restored from its records on disk.
     pub fn new(node_id: NodeId, records: Vec<Record>, started_at: Time) -> Chain {
         let mut c = Chain {
             fleet: FleetId(0),
@@ -86,14 +120,17 @@
         c
     }
 
+    /// Whether this node is a member of the chain in its view.
     pub fn in_chain(&self) -> bool {
         self.view.as_ref().is_some_and(|v| v.has(self.node_id))
     }
 
+    /// Whether this node is the tail of its view.
     pub fn is_tail(&self) -> bool {
         self.view.as_ref().is_some_and(|v| v.tail() == Some(self.node_id))
     }
 
+    /// Whether this node is the head of its view.
     pub fn is_head(&self) -> bool {
         self.view.as_ref().is_some_and(|v| v.head() == Some(self.node_id))
     }
@@ -116,6 +153,7 @@
         }
     }
 
+    /// Replaces committed entries with a snapshot once there are enough of them.
     pub fn trim_log(&mut self, ctx: &mut Context) {
         if !self.log.is_trim_due(self.committed) {
             return;
--- a/src/chain/founding.rs
+++ b/src/chain/founding.rs
@@ -1,6 +1,6 @@
-//! Founding a fleet: once, on the first start, when all seeds answer that they know none.
+//! Founding a fleet: once, on the first start, when all seeds answer that they know no fleet.
 //!
-//! The founder asks all first members for a pledge, which they sync; with all of them it installs view 1.
+//! The founder asks all first members for a pledge, which they sync to disk. With all pledges it installs view 1.
 #![deny(missing_docs)]
 
 use super::core::Chain;
@@ -11,47 +11,47 @@
 use crate::msg::*;
 use std::collections::BTreeMap;
 
-/// A pledge asked for longer ago than this counts for nothing.
+/// A pledge that was requested longer ago than this no longer counts.
 const PLEDGE_TTL: Span = Span::ms(2000);
-/// After this silence of its founder a member drops its pledge.
+/// A member drops its pledge when its founder was silent for this long, and a founder starts over with a new fleet.
 const FOUNDING_TIMEOUT: Span = Span::ms(10_000);
-/// A controller heard within this span may be a first member.
+/// A controller silent for less than this may be a first member.
 const LIVE_SILENCE_LIMIT: Span = Span::ms(1500);
-/// Each next candidate waits this much longer before it founds.
+/// Each further candidate waits this much longer before it founds the fleet itself.
 const CANDIDATE_STEP: Span = Span::ms(3000);
-/// Without news of another controller for this span, fewer members do.
+/// When no further controller was found for this long, fewer first members are enough.
 const SETTLE_PERIOD: Span = Span::ms(2500);
 
-/// What a node knows of a founding.
+/// What a node knows about the founding of a fleet.
 #[derive(Clone, Default)]
 pub struct Founder {
-    /// The fleet and first members that this node has pledged itself to; synced.
+    /// The fleet and first members that this node has pledged itself to, as synced to disk.
     pub pledge: Option<(FleetId, Vec<NodeId>)>,
-    /// Which seeds said, and when, whether they know no fleet.
+    /// For each seed that answered: whether it knows no fleet, and when it said so.
     pub seed_answers: BTreeMap<NodeId, (bool, Time)>,
-    /// When the pledge of each member that came back was asked for.
+    /// For each member that pledged itself: when its pledge was requested.
     pub pledged_at: BTreeMap<NodeId, Time>,
-    /// When pledges were asked for last.
+    /// When pledges were last requested.
     pub asked_at: Time,
-    /// When the founder was heard last.
+    /// When the founder was last heard.
     pub founder_heard_at: Time,
-    /// When this node began to found.
+    /// When this node chose the first members and began to collect pledges.
     pub began_at: Time,
-    /// How many controllers are known.
+    /// The number of known controllers.
     pub known_controllers: usize,
-    /// When their number grew last.
+    /// When that number last grew.
     pub grown_at: Time,
 }
 
 impl Founder {
-    /// Notes a seed's answer.
+    /// Records the answer of a seed.
     pub fn on_welcome(&mut self, from: NodeId, empty: bool, now: Time) {
         self.seed_answers.insert(from, (empty, now));
     }
 }
 
 impl Chain {
-    /// Takes up the fleet that a message names, unless this node is pledged to found another.
+    /// Joins the fleet that a message names, unless this node has pledged itself to the founder of another.
     pub fn join_fleet(&mut self, fleet: FleetId, ctx: &mut Context) {
         if fleet == FleetId(0) || self.fleet != FleetId(0) {
             return;
@@ -77,6 +77,7 @@
         (ctx.me.is_seed || !ctx.me.seeds.is_empty()) && ctx.me.seeds.iter().all(seen)
     }
 
+    /// The first members, this node first; none if it is too early or not the turn of this node.
     fn first_members(&self, ctx: &Context) -> Option<Vec<NodeId>> {
         let me = ctx.me;
         let seed = |r: &MemberRow| r.who.addr == me.addr || me.seeds.contains(&r.who.addr);
@@ -104,7 +105,7 @@
         Some(all)
     }
 
-    /// Asks for pledges, if this node is to found.
+    /// Timed work: requests pledges if this node is the founder; drops its own pledge if its founder fell silent.
     pub fn found_fleet(&mut self, ctx: &mut Context) {
         let known = ctx.views.controllers().count();
         if known > self.founder.known_controllers {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Answers a founder.
+    /// Pledges this node to the founder `from`, if the seeds know no fleet and no other pledge takes precedence.
     pub fn on_pledge_request(
         &mut self,
         from: NodeId,
@@ -175,7 +176,7 @@
         ctx.chain(from, ChainMsg::PledgeReply { fleet, sent });
     }
 
-    /// Counts a pledge; with all of them the fleet is founded.
+    /// Counts a pledge; once all members have pledged themselves, founds the fleet and installs its first view.
     pub fn on_pledge_reply(&mut self, from: NodeId, fleet: FleetId, sent: Time, ctx: &mut Context) {
         let Some((mine, members)) = self.founder.pledge.clone() else { return };
         if mine != fleet || self.fleet != FleetId(0) || members.first() != Some(&self.node_id) {
@@ -199,6 +200,8 @@
     }
 }
 
+/// Whether a pledge to the members `mine` gives way to the founder `from`: a founder yields to a lower id, any
+/// other member only repeats its pledge to its own founder.
 fn yields_pledge(mine: &[NodeId], from: NodeId, me: NodeId) -> bool {
     match mine.first() {
         Some(first) if *first == me => from <= me,
--- a/src/chain/heartbeat.rs
+++ b/src/chain/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between members, who is heard, and what the members together hold.
+//! Heartbeats between members, failure detection from them, and the timed work of the chain.
 #![deny(missing_docs)]
 
 use super::core::{Chain, HEARTBEAT_INTERVAL, SILENCE_LIMIT};
@@ -8,17 +8,18 @@
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
 
-/// A tick that comes this much after the last one follows a sleep or a freeze.
+/// A tick this long after the last one follows a suspension of the process.
 const SUSPEND_GAP: Span = Span::ms(300);
-/// The free bytes below which a disk counts as nearly full.
+/// A disk with fewer free bytes counts as nearly full.
 pub const NEARLY_FULL_BYTES: u64 = 4 << 20;
-/// With less room than this a member takes nothing that it would have to write: what it has stays synced, so
-/// that it goes on granting leases and answering reads.
+/// With fewer free bytes a member takes nothing that it would have to write. What it has stays synced, so that it
+/// can go on granting leases and answering reads.
 pub const MIN_WRITE_BYTES: u64 = 512 << 10;
 
 impl Chain {
-    /// All that this member does by time: heartbeats, lease, agreement, repair and joining. A proposal that is
-    /// under way when no majority is heard is given up: whom it leaves out was judged by links that are cut.
+    /// The timed work: heartbeats, lease, agreement, view changes and joining. A proposal under way is dropped when
+    /// no majority is heard, since cut links may have made live members look lost. After a suspension, or when a
+    /// majority is heard again, all silences are counted anew.
     pub fn tick(&mut self, ctx: &mut Context) {
         let slept = ctx.now.since(self.ticked_at) > SUSPEND_GAP;
         self.ticked_at = ctx.now;
@@ -68,8 +69,9 @@
         ChainMsg::Heartbeat { view, has_room, is_impaired, is_leaving }
     }
 
-    /// Takes a heartbeat. One that cannot write is left out of the view and cannot ask to join, so nobody would
-    /// speak to it; the answer shows it that it still reaches a majority.
+    /// Handles a heartbeat. A node that cannot write is removed from the view and cannot ask to join, so nobody
+    /// else would send to it; it is answered with a heartbeat, from which it learns that it still reaches a
+    /// majority.
     pub fn on_heartbeat(&mut self, from: NodeId, view_no: ViewNo, state: PeerState, ctx: &mut Context) {
         self.peers.insert(from, state);
         let Some(view) = self.view.clone() else { return };
@@ -82,8 +84,9 @@
         }
     }
 
-    /// Notes that something came from a controller. One that says that it is impaired still counts toward the
-    /// majority that hears this node, and as lost from the chain all the same.
+    /// Records that a message came from a controller. An impaired one counts for `hears_majority`, but not as
+    /// alive, so it is removed from the chain. Nor do lease messages show that it is alive: they need no working
+    /// disk.
     pub fn note_heard(&mut self, from: NodeId, msg: &ChainMsg, now: Time) {
         self.last_reached_at.insert(from, now);
         if let ChainMsg::Heartbeat { is_impaired, .. } = msg {
@@ -99,28 +102,28 @@
         self.peers.get(&node).is_some_and(|peer| peer.is_impaired)
     }
 
-    /// Whether a vote or an entry of this node would be synced soon.
+    /// Whether this node can sync a vote or an entry: its disk has room and no write is stuck.
     pub fn can_write(&self, ctx: &Context) -> bool {
         ctx.free_disk_bytes >= MIN_WRITE_BYTES && !ctx.is_write_stuck
     }
 
-    /// For how long nothing was heard of `node`.
+    /// How long `node` has not been heard as alive.
     pub fn silence(&self, node: NodeId, now: Time) -> Span {
         now.since(self.last_alive_at.get(&node).copied().unwrap_or_default())
     }
 
-    /// Counts `node` as heard just now.
+    /// Counts `node` as heard now.
     pub fn mark_alive(&mut self, node: NodeId, now: Time) {
         self.last_alive_at.insert(node, now);
         self.last_reached_at.insert(node, now);
     }
 
-    /// Whether `node` was heard of lately.
+    /// Whether `node` was heard as alive within `SILENCE_LIMIT`.
     pub fn is_heard(&self, node: NodeId, now: Time) -> bool {
         node == self.node_id || self.silence(node, now) < SILENCE_LIMIT
     }
 
-    /// Whether messages of a majority of the voters, this node's own vote included, came through lately.
+    /// Whether a majority of the voters, this node included, was heard within `SILENCE_LIMIT`, impaired or not.
     pub fn hears_majority(&self, now: Time) -> bool {
         let Some(view) = &self.view else { return false };
         let near = |v: &NodeId| self.last_reached_at.get(v).is_some_and(|t| now.since(*t) < SILENCE_LIMIT);
@@ -128,8 +131,8 @@
         n >= view.majority()
     }
 
-    /// Whether enough voters can sync a vote. Asking for votes that cannot come would only pause the leases that
-    /// the same voters still grant.
+    /// Whether a majority of the voters can sync a vote. Without it a proposal cannot succeed, and would only make
+    /// the voters pause the leases that they still grant.
     pub fn has_writing_majority(&self, ctx: &Context) -> bool {
         let Some(view) = &self.view else { return false };
         let writes = |v: &&NodeId| match **v == self.node_id {
@@ -139,7 +142,7 @@
         view.voters.iter().filter(writes).count() >= view.majority()
     }
 
-    /// The version up to which this member and all behind it have synced every change.
+    /// The version up to which this member and all after it in the chain have synced every change.
     pub fn synced_to_tail(&self) -> Version {
         match self.view.as_ref().and_then(|v| v.after(self.node_id)) {
             Some(_) => self.successor_synced_to_tail.min(self.log.last()),
@@ -147,13 +150,13 @@
         }
     }
 
-    /// Whether enough members hold all that is committed here, so that it may be acknowledged.
+    /// Whether enough members hold all that is committed here for it to be acknowledged.
     pub fn has_enough_copies(&self, ctx: &Context) -> bool {
         let copies = self.view.as_ref().map_or(0, |v| v.chain.len());
         copies >= ctx.me.required_copies() && self.synced_to_tail() >= self.committed
     }
 
-    /// Whether enough other members have room on their disks.
+    /// Whether enough other members are heard and have room on their disks.
     pub fn peers_have_room(&self, ctx: &Context) -> bool {
         let Some(view) = &self.view else { return false };
         let fine =
--- a/src/chain/installation.rs
+++ b/src/chain/installation.rs
@@ -1,4 +1,4 @@
-//! Taking up a decided view, and what this node then is in it.
+//! Installing a decided view, and the role of this node in it.
 #![deny(missing_docs)]
 
 use super::core::Chain;
@@ -11,7 +11,8 @@
 use crate::msg::*;
 
 impl Chain {
-    /// Takes up a decided view, unless this node has a newer one.
+    /// Installs a decided view, unless this node has that or a newer one. A member of the view just before stays
+    /// ready; the head is always ready.
     pub fn install(&mut self, view: View, ctx: &mut Context) {
         if self.view.as_ref().is_some_and(|old| old.no >= view.no) {
             return;
@@ -45,14 +46,15 @@
         self.commit_if_tail(ctx);
     }
 
-    /// Records that this member holds all that was committed before view `no`; synced before others hear of it.
+    /// Records that this member holds all that was committed before view `view_no`. It is synced before any message
+    /// says so.
     pub fn save_ready(&mut self, view_no: ViewNo, ctx: &mut Context) {
         self.ready_in_view = Some(view_no);
         ctx.save(Record::Ready { view: view_no });
         ctx.publish(JournalEvent::MemberReady(view_no));
     }
 
-    /// Tells the node's other components what it is in the chain.
+    /// Publishes the role of this node to its other components, and reports its readiness to the process.
     pub fn publish_role(&mut self, ctx: &mut Context) {
         let role = ChainRole {
             is_head: self.is_head() && self.committed >= self.inherited_up_to,
--- a/src/chain/join.rs
+++ b/src/chain/join.rs
@@ -1,4 +1,4 @@
-//! Joining the chain: a snapshot, then the changes after it, then a place at the end.
+//! Joining the chain: the node gets a snapshot, then the entries after it, then a place at the end of the chain.
 #![deny(missing_docs)]
 
 use super::core::{Chain, SILENCE_LIMIT};
@@ -14,30 +14,30 @@
 
 /// How often a node outside the chain asks to join.
 const JOIN_INTERVAL: Span = Span::ms(250);
-/// How soon it asks again while members have not answered yet.
+/// How soon it asks again while some members have not answered yet.
 const JOIN_RETRY: Span = Span::ms(60);
-/// How often a slow disk is tried.
+/// How often a slow or full disk is tested with a write.
 const DISK_TRIAL_INTERVAL: Span = Span::ms(1000);
-/// A joiner is taken in once it lacks at most so many changes.
+/// A joining node is proposed as a member once it lacks at most this many entries.
 const MAX_LAG: u64 = 8;
-/// Behind by more bytes than this (and than two configurations), a member that joins is sent the snapshot.
+/// A joining node that lacks more bytes than this, and than twice the configuration, is sent a snapshot.
 const MAX_CATCH_UP_BYTES: usize = 512 << 10;
 
-/// What a node outside the chain remembers of its joining.
+/// What a node outside the chain keeps while it joins.
 #[derive(Clone, Default)]
 pub struct Joiner {
-    /// Whether it has a snapshot and follows changes.
+    /// Whether it has a snapshot and receives the entries after it.
     pub is_following: bool,
-    /// When it asked to join last.
+    /// When it last asked to join.
     pub asked_at: Time,
-    /// When it tried its disk last.
+    /// When it last tested its disk.
     pub disk_tried_at: Time,
-    /// When each member answered last.
+    /// When each member last answered.
     pub answered_at: BTreeMap<NodeId, Time>,
 }
 
 impl Joiner {
-    /// Ends joining when a view comes; what was followed outside the chain is not relied on.
+    /// Ends joining when a view is installed. A node still outside the chain starts again from a snapshot.
     pub fn stop(&mut self, inside: bool) {
         if !inside {
             self.is_following = false;
@@ -47,7 +47,7 @@
 }
 
 impl Chain {
-    /// Asks the tail to be taken in, once all other members are in touch.
+    /// Asks the tail to join, once all other members have answered.
     pub fn request_join(&mut self, ctx: &mut Context) {
         if self.departure.is_some() {
             return;
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Answers a node that wants to join: with a snapshot, changes, or a proposal that takes it in.
+    /// Answers a node that wants to join. Any member but the tail only confirms contact; the tail sends a snapshot
+    /// or the missing entries, and proposes the view with the node once it has nearly caught up.
     pub fn on_join(&mut self, from: NodeId, synced: Version, is_following: bool, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
         if !self.is_tail() || view.has(from) {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Takes a whole state in place of the own log.
+    /// Replaces the own log with a snapshot.
     pub fn on_snapshot(&mut self, from: NodeId, at: Version, state: &FleetState, ctx: &mut Context) {
         let pred = self.view.as_ref().and_then(|v| v.before(self.node_id));
         if self.in_chain() && (pred != Some(from) || at <= self.log.last()) {
@@ -114,8 +115,8 @@
         if !self.in_chain() && self.joiner.is_following && at <= self.log.last() {
             return;
         }
-        let tag = ctx.views.view.as_ref().map_or(ViewNo(0), |v| v.no);
-        self.log = ReplicationLog::after_snapshot(at, tag);
+        let base_view = ctx.views.view.as_ref().map_or(ViewNo(0), |v| v.no);
+        self.log = ReplicationLog::after_snapshot(at, base_view);
         self.committed = at;
         self.joiner.is_following = true;
         let rows = self.records(state);
@@ -124,7 +125,7 @@
         ctx.publish(JournalEvent::StateLoaded(Arc::new(state.clone())));
     }
 
-    /// Takes the changes after the snapshot.
+    /// Appends the entries after the snapshot.
     pub fn on_catch_up(&mut self, from: NodeId, entries: &[Entry], ctx: &mut Context) {
         let tail = ctx.views.view.as_ref().and_then(|v| v.tail());
         if self.in_chain() || !self.joiner.is_following || tail != Some(from) {
--- a/src/chain/lease.rs
+++ b/src/chain/lease.rs
@@ -1,8 +1,8 @@
-//! The tail's lease: only under it the tail answers reads and proves that it is the newest.
+//! The tail's lease: the tail answers reads, and confirms that its view is current, only while it holds it.
 //!
-//! A tail that is to be left out because it cannot write returns its lease, so that the voters need not wait until it
-//! has run out: the change of view then takes a few messages, and a member that is lost meanwhile hardly ever finds it
-//! half made.
+//! A tail that is being removed because it cannot write returns its lease, so that the voters need not wait for it
+//! to expire. The view change then takes only a few messages, which leaves little time for another member to be
+//! lost in the middle of it.
 #![deny(missing_docs)]
 
 use super::core::Chain;
@@ -12,30 +12,31 @@
 use crate::msg::ChainMsg;
 use std::collections::BTreeMap;
 
-/// How long a granted lease may be used, counted from its request.
+/// How long the tail may use a granted lease, counted from its request.
 pub const LEASE_DURATION: Span = Span::ms(800);
-/// How long a voter that granted a lease neither promises nor accepts a view without its holder.
+/// How long a voter that granted a lease holds back the acceptance of a view that would end it. Longer than
+/// `LEASE_DURATION`, so that the lease has expired by then.
 pub const LEASE_HOLD: Span = Span::ms(850);
-/// How often the tail asks for its lease.
+/// How often the tail requests a renewal.
 pub const LEASE_RENEW_INTERVAL: Span = Span::ms(200);
-/// A tail that returned its lease asks for none for so long; by then the view has changed, or never will.
+/// How long a tail that returned its lease requests no new one. If the view has not changed by then, it will not.
 const RETURN_BACKOFF: Span = Span::ms(400);
 
-/// The tail's own lease.
+/// The tail's record of its lease.
 #[derive(Clone, Default)]
 pub struct Lease {
-    /// Until when it may be used.
+    /// Until when the lease may be used.
     pub valid_until: Time,
-    /// When it was asked for last.
+    /// When it was last requested.
     pub requested_at: Time,
-    /// When it was last returned; grants of what was asked for until then count no more.
+    /// When it was last returned; grants of requests up to then are ignored.
     pub returned_at: Time,
-    /// The newest request that each voter has granted.
+    /// The send time of the newest request that each voter has granted.
     pub grants: BTreeMap<NodeId, Time>,
 }
 
 impl Chain {
-    /// Asks all voters for the lease, if this is the tail and it is time.
+    /// Requests the lease from all voters, if this is the ready tail and a renewal is due.
     pub fn renew_lease(&mut self, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
         if !self.is_tail() || !self.is_ready || self.awaits_first_vote(ctx) {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A voter grants the tail its lease, unless a next view is under way.
+    /// On a voter: grants the lease to the tail, unless a view change is under way.
     pub fn on_lease_request(&mut self, from: NodeId, view_no: ViewNo, sent: Time, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
         if view.no != view_no || view.tail() != Some(from) || !view.voters.contains(&self.node_id) {
@@ -66,7 +67,7 @@
         ctx.chain(from, ChainMsg::LeaseGrant { view: view_no, sent });
     }
 
-    /// Counts a grant; the lease runs from the latest request that a majority has granted.
+    /// Counts a grant. The lease runs from the newest request that a majority has granted.
     pub fn on_lease_grant(&mut self, from: NodeId, view_no: ViewNo, sent: Time) {
         let Some(view) = &self.view else { return };
         if view.no != view_no
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Gives the lease up, if this tail cannot write and is to be left out of view `no`: from here on it answers
-    /// nothing as the tail, whatever was granted before.
+    /// Returns the lease if this tail cannot write and `view_no` is the view that removes it. From then on it
+    /// answers nothing as the tail, whatever was granted before.
     pub fn return_lease(&mut self, view_no: ViewNo, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
         if view_no != view.no.next() || !self.is_tail() || self.can_write(ctx) {
@@ -103,8 +104,8 @@
         }
     }
 
-    /// The tail has returned the lease that it asked for at `sent`. Only the very lease that this voter granted last
-    /// ends so: a word that comes late says nothing of a later one.
+    /// On a voter: the tail has returned the lease that it requested at `sent`. Ignored unless that is the lease
+    /// granted last, since a delayed message says nothing about a later lease.
     pub fn on_lease_returned(&mut self, from: NodeId, view_no: ViewNo, sent: Time, ctx: &mut Context) {
         let current = self.view.as_ref().is_some_and(|view| view.no == view_no);
         if !current || self.acceptor.granted_lease != Some((from, sent)) {
@@ -114,7 +115,7 @@
         self.accept_deferred(ctx);
     }
 
-    /// Whether this voter may still be bound by a lease that it granted before it was restarted.
+    /// Whether a lease that this voter granted before its restart may still be in use.
     pub fn is_in_restart_wait(&self, now: Time) -> bool {
         now.since(self.started_at) < LEASE_HOLD + Span::ms(50)
     }
--- a/src/chain/leaving.rs
+++ b/src/chain/leaving.rs
@@ -1,8 +1,9 @@
-//! Leaving on purpose: a member that was told to stop goes only after what it holds stands elsewhere.
+//! Graceful departure: a member that was told to stop leaves only once the others hold what it holds.
 //!
-//! It proposes the view without itself, which passes its vote to a ready member that has none, once enough other
-//! members hold all that is committed and a majority of the votes stays with live members. Until then it works
-//! on; how long it may, the daemon decides by its grace. What it waits for is told and logged.
+//! It proposes the view without itself, which passes its vote to a ready member without one, as soon as enough
+//! other members hold all that is committed and a majority of the votes remains with live members. Until then it
+//! keeps working; the daemon limits how long by its grace period. What it waits for is reported to the daemon and
+//! logged.
 #![deny(missing_docs)]
 
 use super::core::Chain;
@@ -12,21 +13,21 @@
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
 
-/// A controller outside the chain that was heard of within this span may still take this one's place.
+/// A controller outside the chain that was silent for less than this may still take this one's place.
 const SUCCESSOR_HEARD: Span = Span::ms(1500);
 
-/// How far a member that was told to stop has got.
+/// The progress of a member that was told to stop.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Departure {
-    /// Whether the process may end now.
+    /// Whether the process may exit now.
     pub is_done: bool,
     /// How many other members that stay hold all that is committed.
     pub copies: usize,
-    /// How many there should be.
+    /// How many of them there must be.
     pub required_copies: usize,
-    /// How many votes are with live members that stay.
+    /// How many votes belong to live members that stay.
     pub votes: usize,
-    /// How many make a majority.
+    /// How many votes make a majority.
     pub majority: usize,
 }
 
@@ -41,13 +42,13 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let state = if self.is_done { "left" } else { "not left yet" };
         let (copies, wanted) = (self.copies, self.required_copies);
-        write!(f, "{state}: {copies} of {wanted} copies wanted and {} votes stand elsewhere", self.votes)?;
-        write!(f, ", {} votes are a majority", self.majority)
+        write!(f, "{state}: others hold {copies} of {wanted} required copies and {} votes", self.votes)?;
+        write!(f, ", a majority is {}", self.majority)
     }
 }
 
 impl Chain {
-    /// Begins to leave; the process was told to stop.
+    /// Begins to leave, because the process was told to stop.
     pub fn begin_leaving(&mut self, ctx: &mut Context) {
         if self.departure.is_none() {
             self.departure = Some(Departure::default());
@@ -55,12 +56,12 @@
         }
     }
 
-    /// Whether `node` has said that it is about to leave.
+    /// Whether `node` has announced that it is leaving.
     pub fn is_leaving(&self, node: NodeId) -> bool {
         self.peers.get(&node).is_some_and(|p| p.is_leaving)
     }
 
-    /// Proposes the view without this member if the others can go on in it.
+    /// Proposes the view without this member, if the others can go on in it.
     pub fn propose_leaving(&mut self, view: &View, ctx: &mut Context) {
         let next = self.view_without_self(view, ctx.now);
         if self.departure_without_me(&next, ctx).others_suffice() {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Tells the daemon how far leaving has got, when that has changed.
+    /// Reports the progress of leaving to the daemon when it has changed.
     pub fn update_departure(&mut self, ctx: &mut Context) {
         let Some(old) = self.departure else { return };
         if old.is_done {
@@ -96,8 +97,8 @@
         view.without_leaver(self.node_id, &candidates)
     }
 
-    /// What stands elsewhere in `next`. All before this member hold what it holds; those behind it have said
-    /// what they all hold, and that only once they are ready.
+    /// What the other members hold in `next`. Those before this member hold all that it holds; those after it have
+    /// reported what they all hold, which they do only once they are ready.
     fn departure_without_me(&self, next: &View, ctx: &Context) -> Departure {
         let stay = |n: &&NodeId| self.will_stay(next, **n, ctx.now);
         let synced = !self.in_chain() || (self.is_ready && self.synced_to_tail() >= self.committed);
@@ -111,15 +112,16 @@
         }
     }
 
-    /// Whether `node` is heard and stays. Of two that leave at once the one nearer to the head goes first.
+    /// Whether `node` is a live member that stays. Of two members that leave at the same time, the one nearer to
+    /// the head goes first.
     fn will_stay(&self, view: &View, node: NodeId, now: Time) -> bool {
         let place = |n: NodeId| self.view.as_ref().and_then(|v| v.chain.iter().position(|c| *c == n));
         let goes_first = self.is_leaving(node) && place(node) < place(self.node_id);
         view.has(node) && self.is_heard(node, now) && !goes_first
     }
 
-    /// Whether waiting is of no use: this member holds nothing that the others lack, or no other controller
-    /// could take over, as when all are stopped at once.
+    /// Whether waiting is useless: this member holds nothing that the others lack, or no other controller could
+    /// take over, as when all are stopped at once.
     fn has_nobody_to_wait_for(&self, view: &View, ctx: &Context) -> bool {
         if !self.is_ready && !view.voters.contains(&self.node_id) {
             return true;
@@ -132,13 +134,13 @@
     }
 }
 
-/// What a member said of itself in its last heartbeat.
+/// What a controller said of itself in its last heartbeat.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerState {
-    /// It hears no majority or cannot write: it beats and grants leases, and counts as lost from the chain.
+    /// It hears no majority or cannot write. It still sends heartbeats and grants leases, but counts as lost.
     pub is_impaired: bool,
-    /// Its disk has room for changes.
+    /// Its disk is not nearly full.
     pub has_room: bool,
-    /// It was told to stop and is about to leave.
+    /// It was told to stop and is leaving.
     pub is_leaving: bool,
 }
--- a/src/chain/ledger_transfer.rs
+++ b/src/chain/ledger_transfer.rs
@@ -1,10 +1,10 @@
 //! Transfer of the ledger of serving leases to a member that joined the chain or was restarted.
 //!
-//! Such a member asks its predecessor, by a nonce of its own, until it is answered. In the view that both are in
-//! the predecessor has recorded each application before this member got it, and it covers the leases of earlier
-//! views by its records or by its own `unknown_until`. So its answer covers every lease that the asking member
-//! can't know. The nonce keeps an answer to an earlier life of the process from counting: what was granted after
-//! that answer would be missing. Times travel as what is left, so that a delay only lengthens them.
+//! Such a member asks its predecessor, with a nonce, until it is answered. In their common view the predecessor has
+//! recorded each application before this member got it, and it covers the leases of earlier views by its records or
+//! by its own `unknown_until`. So its answer covers every lease that the asking member cannot know. The nonce keeps
+//! an answer to an earlier incarnation of the process from counting, which would lack the leases granted since.
+//! Times are sent as remaining durations, so that a delay only lengthens them.
 
 use super::serving_leases::{LeaseHolder, ServingLeases};
 use crate::distribution::messages::LeaseNumber;
@@ -15,29 +15,34 @@
 use bitcode::{Decode, Encode};
 use std::net::SocketAddr;
 
-/// How often the predecessor is asked again.
+/// How often the request is repeated.
 const REQUEST_INTERVAL: Span = Span::ms(100);
 
 /// A router with a lease, as the predecessor has recorded it.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct LedgerRow {
+    /// The router.
     pub router: NodeId,
-    /// What is left of the lease.
+    /// The remaining time of the lease.
     pub left: Span,
+    /// The versions that the router has confirmed to have.
     pub versions: Vec<Version>,
+    /// The address of the router, if known.
     pub address: Option<SocketAddr>,
+    /// The number of the application.
     pub number: LeaseNumber,
 }
 
 /// The ledger of the predecessor.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct LeaseLedger {
-    /// How long leases that the predecessor doesn't know of may still run.
+    /// For how long leases that the predecessor does not know of may still run.
     pub unknown: Span,
+    /// All running leases.
     pub rows: Vec<LedgerRow>,
 }
 
-/// The request for the predecessor's ledger that is under way.
+/// The pending request for the predecessor's ledger.
 #[derive(Clone, Default)]
 pub(super) struct LedgerRequest {
     nonce: Option<u64>,
@@ -45,12 +50,12 @@
 }
 
 impl ServingLeases {
-    /// Begins to ask: all answers to earlier requests are void.
+    /// Starts a new request with a new nonce, so that answers to earlier requests are ignored.
     pub(super) fn renew_ledger_request(&mut self, ctx: &mut Context) {
         self.ledger_request = LedgerRequest { nonce: Some(ctx.rand.next()), sent: Time(0) };
     }
 
-    /// Asks the predecessor while leases that this member doesn't know of could hold up a release.
+    /// Asks the predecessor while leases that this member does not know of could delay a release.
     pub(super) fn request_ledger(&mut self, ctx: &mut Context) {
         let Some(nonce) = self.ledger_request.nonce else { return };
         if self.unknown_until() <= ctx.now + ctx.me.freshness_limit {
@@ -67,7 +72,7 @@
         }
     }
 
-    /// At the predecessor: answers with all that it has recorded.
+    /// On the predecessor: answers with all recorded leases.
     pub(super) fn on_ledger_request(&self, from: NodeId, view_no: ViewNo, nonce: u64, ctx: &mut Context) {
         let view = self.current_view(ctx).filter(|v| v.no == view_no && v.after(ctx.me.node) == Some(from));
         if view.is_some() {
@@ -76,7 +81,7 @@
         }
     }
 
-    /// Takes over the predecessor's ledger, besides what was recorded since it was asked for.
+    /// Merges the predecessor's ledger into what was recorded here since the request.
     pub(super) fn on_ledger(&mut self, view_no: ViewNo, nonce: u64, ledger: &LeaseLedger, ctx: &Context) {
         let current = self.current_view(ctx).is_some_and(|v| v.no == view_no);
         if !current || self.ledger_request.nonce != Some(nonce) {
@@ -97,7 +102,7 @@
         LeaseLedger { unknown: self.unknown_until().since(now), rows }
     }
 
-    /// The lease counts as the longer one of both; what the router is known to have stays as recorded here.
+    /// Keeps the longer of the two leases; the versions recorded here take precedence.
     fn merge_holder(&mut self, row: &LedgerRow, now: Time) {
         let until = now + row.left;
         let (versions, address, number) = (row.versions.clone(), row.address, row.number);
--- a/src/chain/show.rs
+++ b/src/chain/operator_reads.rs
@@ -1,3 +1,5 @@
+//! Reads: answers to operators from the committed state, given by the tail.
+
 use super::change_queue::ChangeQueue;
 use crate::fleet::FleetState;
 use crate::fleet::state::OutcomeCode;
@@ -8,8 +10,8 @@
 use crate::msg::{Answer, Msg, Role};
 
 impl ChangeQueue {
-    /// Answers a read at the tail, while a majority of the voters grants its lease; else nothing is said, and
-    /// the node that forwarded the read asks the tail of a newer view or tells its caller so.
+    /// Answers a read at the tail while it holds its lease. Otherwise sends nothing; the node that forwarded the
+    /// read then asks the tail of a newer view or reports the failure to its caller.
     pub fn on_read(&mut self, from: NodeId, attempt: u64, path: &str, ctx: &mut Context) {
         if ctx.now < ctx.views.role.lease_until {
             let answer = answer(path, ctx.views);
@@ -18,6 +20,7 @@
     }
 }
 
+/// The answer to a read of `path`, which comes without the version prefix of the API.
 pub fn answer(path: &str, views: &Views) -> Answer {
     let state = &views.state;
     if let Some(sql) = path.strip_prefix("query/") {
@@ -32,7 +35,12 @@
             ("configuration", state.config.shown()),
         ]),
         ["source"] if state.config.source.is_empty() => {
-            return Answer::new(404, "no-configuration", "no configuration was taken yet; send one", 0);
+            return Answer::new(
+                404,
+                "no-configuration",
+                "no configuration has been accepted yet; send one",
+                0,
+            );
         }
         ["source"] => return Answer::ok(state.config.source.clone()),
         ["status"] => status(views),
@@ -46,7 +54,7 @@
         ["change", id] => {
             let name = ChangeId::parse_name(id);
             if let Some(at) = name.and_then(|name| taken_at(state, name)).filter(|at| *at > views.released) {
-                let text = format!("the change is on its way to the routers as {at}; ask again");
+                let text = format!("the change is being distributed to the routers as {at}; ask again");
                 return Answer::new(202, "taken", &text, 1);
             }
             if let Some(o) = name.and_then(|name| state.outcome_named(name)) {
@@ -58,7 +66,7 @@
             if state.candidate.as_ref().is_some_and(|t| Some(t.id.name) == name) {
                 return Answer::new(202, "rehearsing", "the change is under rehearsal; ask again", 1);
             }
-            let text = "no such change is recorded; it was not taken, or is too old to be kept";
+            let text = "no such change is recorded; it was not accepted, or is too old to be kept";
             return Answer::new(404, "unknown-change", text, 0);
         }
         _ => return Answer::new(404, "unknown-path", "see docs/interface.md for what can be asked", 0),
@@ -66,7 +74,7 @@
     Answer::ok(tree.to_string())
 }
 
-/// The version of the change of this name, if it was taken.
+/// The version of the change with this name, if it was accepted.
 fn taken_at(state: &FleetState, name: u128) -> Option<Version> {
     match state.outcome_named(name) {
         Some(outcome) => (outcome.code == OutcomeCode::Ok).then_some(outcome.at),
@@ -82,6 +90,7 @@
     Tree::Map(rows)
 }
 
+/// All known nodes with their place in the chain.
 pub fn nodes(views: &Views) -> Tree {
     let row = |r: &crate::msg::MemberRow| {
         let role = if r.who.role == Role::Router { "router" } else { "controller" };
--- a/src/chain/own_change.rs
+++ b/src/chain/own_change.rs
@@ -1,4 +1,5 @@
-//! Changes in the product's own format: one is under way at a time, and each is rehearsed before it is in force.
+//! Changes in the native format: one is under way at a time, and each is rehearsed as a candidate before it takes
+//! effect. Also the other operator calls that become one change each.
 
 use super::change_queue::{ChangeQueue, RESUBMIT_AFTER};
 use super::reply::{faults, outcome_unknown, status};
@@ -10,11 +11,11 @@
 use crate::kernel::ids::*;
 use crate::msg::{Answer, OperatorCall};
 
-/// A refusal that needs no revision to be passed before it can be forgotten.
+/// For refusals that need not wait for any revision before they can be forgotten.
 const NO_LAST_REVISION: u64 = u64::MAX;
 
 impl ChangeQueue {
-    /// Takes the next change from the queue, unless one is under way.
+    /// Starts the next change in the queue, unless one is under way.
     pub(super) fn start_next_change(&mut self, ctx: &mut Context) {
         let proposing = self.proposed_at.is_some_and(|since| ctx.now.since(since) < RESUBMIT_AFTER);
         if ctx.views.state.candidate.is_some() || proposing {
@@ -25,6 +26,7 @@
         }
     }
 
+    /// Turns an operator call into a change and submits it.
     pub(super) fn execute(&mut self, id: ChangeId, op: OperatorCall, ctx: &mut Context) {
         match op {
             OperatorCall::ReplaceConfig { base, text } => {
@@ -81,7 +83,8 @@
         self.start_next_change(ctx);
     }
 
-    /// Hands a configuration to the chain. `lasting`: a fault in it now is a fault in it at any time.
+    /// Submits a configuration to the chain. `is_final_fault`: a fault found in it now would be found at any time,
+    /// so that its refusal need not be committed.
     fn propose(
         &mut self,
         id: ChangeId,
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Has a refusal committed before it is told, where the same change might be good at another time.
+    /// Commits a refusal before it is answered, because the same change could be valid at another time.
     fn submit_refusal(
         &mut self,
         id: ChangeId,
@@ -137,11 +140,11 @@
         return outcome_unknown();
     }
     let code = OutcomeCode::StaleBase;
-    let text = format!("base {base} is not the current {}; read it and send again", state.config_version);
+    let text = format!("base {base} is not the current {}; read that and send again", state.config_version);
     Answer::new(status(code), &code.to_string(), &text, 0)
 }
 
-/// The tail commits first, so a base that was read there may be one that this head has yet to hear of.
+/// The tail commits first, so a base that was read there may not be known to this head yet.
 fn unknown_base_answer(base: Version, current: Version) -> Answer {
     let text = format!("base {base} is not known here yet, the newest is {current}; send it again");
     Answer::new(503, "base-unknown", &text, 1)
--- a/src/chain/publish.rs
+++ b/src/chain/publish.rs
@@ -1,3 +1,5 @@
+//! Updates from the tail to the nodes that read topics directly from it, sent only while the tail holds its lease.
+
 use super::change_queue::ChangeQueue;
 use crate::fleet::state::Scope;
 use crate::kernel::component::Context;
@@ -5,6 +7,7 @@
 use crate::msg::*;
 
 impl ChangeQueue {
+    /// Answers a request for updates, or refuses it without a lease.
     pub(super) fn on_update_request(
         &mut self,
         from: NodeId,
@@ -20,6 +23,7 @@
         ctx.send(from, Msg::UpdateReply { nonce, items });
     }
 
+    /// Sends updates to the subscribers. Without a lease, forgets the subscribers.
     pub(super) fn push_updates(&mut self, ctx: &mut Context) {
         if ctx.now >= ctx.views.role.lease_until {
             return self.publisher.clear();
--- a/src/chain/read_index.rs
+++ b/src/chain/read_index.rs
@@ -1,12 +1,13 @@
-//! Proof that the head's state is current, taken before it decides on an operator's order.
+//! Read index: confirmation that the head's state is current, obtained before it decides on an operator call.
 //!
-//! A head that was cut off, frozen or replaced still has its old state. Whatever it would say from it (taken,
-//! stale, invalid on top of this) may be wrong. So an order waits at the head until the tail has confirmed, in a
-//! request sent after the order arrived, that it holds its lease in the head's own view, and until the head has
-//! applied all that the tail had committed then. Without that the order is turned away untouched.
+//! A head that was cut off, suspended or replaced still has its old state, and any answer from it (accepted, stale,
+//! invalid against this configuration) could be wrong. So a call waits at the head until the tail has confirmed, in
+//! answer to a request sent after the call arrived, that it holds its lease in the head's view, and until the head
+//! has applied all that the tail had committed by then. Without a confirmation the call is rejected without any
+//! effect.
 //!
-//! An order that came while the chain had members enough, and is not decided on when it loses one too many, waits
-//! for another member as a change does that was handed to the chain before.
+//! If the chain had enough members when a call arrived but loses one before the decision, the call waits for
+//! another member, as a change does that was already submitted to the chain.
 
 use super::change_queue::{ChangeQueue, queue_full_answer, too_few_copies_answer};
 use super::heartbeat::NEARLY_FULL_BYTES;
@@ -18,14 +19,14 @@
 use crate::relay::write_timeout;
 use std::sync::Arc;
 
-/// How long before its caller leaves an order that got no proof is turned away.
+/// A call without a confirmation is rejected this long before its caller gives up.
 const REJECT_MARGIN: Span = Span::ms(200);
-/// How often the tail is asked again while orders wait.
+/// How often the tail is asked again while calls wait.
 const REQUEST_INTERVAL: Span = Span::ms(100);
-/// Orders that may wait for the proof at a time.
+/// How many calls may wait for a confirmation.
 const MAX_ARRIVALS: usize = 64;
 
-/// An order that has arrived at the head and isn't yet decided on.
+/// An operator call that has arrived at the head and is not decided yet.
 #[derive(Clone)]
 struct Arrival {
     from: NodeId,
@@ -33,18 +34,18 @@
     attempt: u64,
     op: OperatorCall,
     since: Time,
-    /// Whether the chain had members enough when it arrived.
+    /// Whether the chain had enough members when it arrived.
     had_enough_copies: bool,
 }
 
-/// The tail's answer to a request sent at `sent`; it counts once the head has applied `committed`.
+/// The tail's answer to a request sent at `sent`. It counts once the head has applied `committed`.
 #[derive(Clone)]
 struct Confirmation {
     sent: Time,
     committed: Version,
 }
 
-/// The orders that wait for a proof, and what the tail has confirmed.
+/// The calls that wait for a confirmation, and the last confirmation of the tail.
 #[derive(Clone, Default)]
 pub struct ReadIndex {
     arrivals: Vec<Arrival>,
@@ -53,12 +54,13 @@
 }
 
 impl ReadIndex {
-    /// Forgets all orders that wait; this node is no head any more.
+    /// Forgets all waiting calls, when this node is no longer the head.
     pub fn clear(&mut self) {
         *self = ReadIndex::default();
     }
 
-    /// Adds an order, or a newer attempt of one that waits already. A repeat of the same attempt changes nothing.
+    /// Adds a call, or a newer attempt of one that already waits; a repetition of the same attempt changes nothing.
+    /// False if there are too many.
     fn add(&mut self, new: Arrival) -> bool {
         if let Some(old) = self.arrivals.iter_mut().find(|a| a.id == new.id) {
             if old.attempt != new.attempt {
@@ -73,8 +75,8 @@
         room
     }
 
-    /// Takes out the orders that arrived before the confirmed request was sent, but for those that wait for a
-    /// member.
+    /// Removes and returns the calls that arrived before the confirmed request was sent, except those that wait for
+    /// another member.
     fn confirmed(&mut self, applied: Version, has_enough_copies: bool) -> Vec<Arrival> {
         let Some(proof) = self.confirmation.as_ref().filter(|c| c.committed <= applied) else {
             return vec![];
@@ -90,7 +92,7 @@
 }
 
 impl ChangeQueue {
-    /// Takes in an order. A change of the fleet's own carries its own fence and needs no proof.
+    /// Takes an operator call. An internal change is guarded by its own preconditions and needs no confirmation.
     pub(super) fn on_operator_call(
         &mut self,
         from: NodeId,
@@ -108,7 +110,7 @@
         }
     }
 
-    /// An order has arrived: it is decided on once the head's state is proven.
+    /// Keeps a call until the head's state is confirmed, and asks for a confirmation.
     fn on_arrival(&mut self, from: NodeId, id: ChangeId, attempt: u64, op: &OperatorCall, ctx: &mut Context) {
         let (op, had_enough_copies) = (op.clone(), has_enough_copies(ctx));
         let arrival = Arrival { from, id, attempt, op, since: ctx.now, had_enough_copies };
@@ -118,7 +120,7 @@
         self.request_confirmation(ctx);
     }
 
-    /// Asks the tail whether the head's view is current; a head that is the tail itself asks its own lease.
+    /// Asks the tail to confirm the head's view; a head that is also the tail checks its own lease.
     fn request_confirmation(&mut self, ctx: &mut Context) {
         let role = ctx.views.role;
         if role.is_tail {
@@ -131,8 +133,8 @@
         self.on_read_index_request(role.view, ctx.now, ctx);
     }
 
-    /// A request goes from member to member, by the links that changes take, until it is at the tail, which
-    /// confirms only while it holds its lease in that very view.
+    /// Passes a request on along the chain, over the same links as changes. The tail answers it, if it holds its
+    /// lease in that view.
     pub(super) fn on_read_index_request(&mut self, view: ViewNo, sent: Time, ctx: &mut Context) {
         let (role, own) = (ctx.views.role, ctx.me.node);
         let Some(chain) = confirmation_view(view, ctx) else { return };
@@ -145,7 +147,7 @@
         }
     }
 
-    /// A reply goes back the same way, until it is at the head.
+    /// Passes a reply back along the chain until it reaches the head.
     pub(super) fn on_read_index_reply(
         &mut self,
         view: ViewNo,
@@ -164,14 +166,14 @@
         }
     }
 
-    /// Decides on all orders that are older than the proof.
+    /// Decides on all calls that arrived before the confirmed request.
     pub(super) fn decide_confirmed(&mut self, ctx: &mut Context) {
         for a in self.read_index.confirmed(ctx.views.state.at, has_enough_copies(ctx)) {
             self.decide(a.from, a.id, a.attempt, &a.op, ctx);
         }
     }
 
-    /// Asks again for orders that wait, and turns away those that have waited too long.
+    /// Timed work: repeats the request while calls wait, and rejects calls that have waited too long.
     pub(super) fn on_read_index_tick(&mut self, ctx: &mut Context) {
         self.decide_confirmed(ctx);
         for a in self.read_index.expired(ctx.now) {
@@ -189,14 +191,14 @@
     ctx.views.role.copies >= ctx.views.role.required_copies
 }
 
-/// The answer to an order that got no proof in time.
+/// The answer to a call that got no confirmation in time.
 fn unconfirmed_answer() -> Answer {
-    let text = "no majority of the controllers confirms this head; nothing was taken, ask another node";
+    let text = "no majority of the controllers confirms this head; nothing was changed, try another node";
     Answer::new(503, "no-majority", text, 1)
 }
 
-/// The chain that a proof of `view` passes along. A member that hears no majority stays silent: its letters would
-/// count as signs of life, and it would not be left out.
+/// The view along whose chain a confirmation of `view` travels, if it is current. None on a member that hears no
+/// majority: its messages would make it look alive, and it would not be removed from the chain.
 fn confirmation_view(view: ViewNo, ctx: &Context) -> Option<View> {
     let role = ctx.views.role;
     let current = ctx.views.view.clone().filter(|v| v.no == view && role.view == view);
--- a/src/chain/recovery.rs
+++ b/src/chain/recovery.rs
@@ -1,3 +1,5 @@
+//! Restoring a member from the records on its disk, writing them anew, and inspecting or restoring a copy offline.
+
 use super::acceptor::Acceptor;
 use super::core::Chain;
 use super::replication_log::ReplicationLog;
@@ -9,6 +11,7 @@
 use std::sync::Arc;
 
 impl Chain {
+    /// Applies one record; called for all records in the order in which they were written.
     pub fn restore_record(&mut self, record: Record) {
         match record {
             Record::Ident { node } => self.node_id = node,
@@ -21,8 +24,8 @@
             Record::Promise { view_no, ballot } => self.acceptor.restore_record(view_no, ballot, None),
             Record::Accept { ballot, view } => self.acceptor.restore_record(view.no, ballot, Some(view)),
             Record::Entry { entry } => self.log.push(*entry),
-            Record::Snapshot { at, tag, state } => {
-                self.log = ReplicationLog::after_snapshot(at, tag);
+            Record::Snapshot { at, base_view, state } => {
+                self.log = ReplicationLog::after_snapshot(at, base_view);
                 self.committed = at;
                 self.restored_state = Some(Arc::new(*state));
             }
@@ -31,6 +34,7 @@
         }
     }
 
+    /// All records from which this member can be restored, with `state` as the snapshot at the start of the log.
     pub fn records(&self, state: &FleetState) -> Vec<Record> {
         let mut rows = vec![Record::Ident { node: self.node_id }, Record::Fleet { fleet: self.fleet }];
         if let Some((fleet, members)) = &self.founder.pledge {
@@ -44,22 +48,30 @@
         }
         rows.extend(self.acceptor.records());
         let state = Box::new(state.clone());
-        rows.push(Record::Snapshot { at: self.log.base, tag: self.log.base_view, state });
+        rows.push(Record::Snapshot { at: self.log.base, base_view: self.log.base_view, state });
         rows.extend(self.log.iter().map(|e| Record::Entry { entry: Box::new(e.clone()) }));
         rows
     }
 }
 
+/// How far the view number is raised by a restore, so that views of the lost members are older.
 const RESTORED_VIEW_STEP: u64 = 1_000_000;
 
+/// What a data folder holds.
 pub struct StoredCopy {
+    /// The id of the node that wrote it.
     pub node: NodeId,
+    /// Its fleet; 0 if it belongs to none.
     pub fleet: FleetId,
+    /// The last installed view.
     pub view: Option<View>,
+    /// The last entry, committed or not.
     pub synced: Version,
+    /// The version of the configuration after all entries.
     pub config_version: Version,
 }
 
+/// Describes a data folder by its records.
 pub fn inspect_records(records: &[Record]) -> StoredCopy {
     let c = Chain::new(NodeId(0), records.to_vec(), Time(0));
     let mut state = c.restored_state.as_deref().cloned().unwrap_or_default();
@@ -75,6 +87,7 @@
     }
 }
 
+/// The records for going on with this copy as the only member of the chain; none if it holds no view.
 pub fn restore_as_only(records: &[Record]) -> Option<Vec<Record>> {
     let mut c = Chain::new(NodeId(0), records.to_vec(), Time(0));
     let old = c.view.clone()?;
--- a/src/chain/replicate.rs
+++ b/src/chain/replicate.rs
@@ -1,4 +1,4 @@
-//! Entries on their way down the chain, and progress on its way up.
+//! Replication: entries travel down the chain to the tail, progress reports travel back up to the head.
 
 use super::core::Chain;
 use super::heartbeat::MIN_WRITE_BYTES;
@@ -9,17 +9,17 @@
 use crate::msg::*;
 use std::sync::Arc;
 
-/// How long entries may be under way to the next member before they are sent again.
+/// Entries without progress for this long are sent again.
 const RESEND_AFTER: Span = Span::ms(200);
-/// How long a snapshot may be under way to the next member before it is sent again.
+/// A snapshot without progress for this long is sent again.
 const RESEND_SNAPSHOT_AFTER: Span = Span::ms(600);
 
-/// What the next member of the chain has, and what is under way to it.
+/// What the next member of the chain has synced, and what was sent to it.
 #[derive(Clone, Default)]
 pub struct SuccessorProgress {
     synced: Version,
     sent: Version,
-    /// Since when something is under way without any progress.
+    /// Since when sent entries have waited without any progress.
     waits_since: Time,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// All entries up to this one have been sent, and nothing behind it.
+    /// Records that all entries up to `upto` were sent, and none after it.
     fn note_sent(&mut self, upto: Version, now: Time) {
         if self.sent <= self.synced {
             self.waits_since = now;
@@ -39,12 +39,12 @@
         self.sent = upto;
     }
 
-    /// The last entry that was sent, and since when that waits: what a resend depends on.
+    /// The last entry sent, and since when it waits: together they decide about a resend.
     pub fn under_way(&self) -> (Version, Time) {
         (self.sent, self.waits_since)
     }
 
-    /// Whether the entry follows what was sent, so that it fits without any other.
+    /// Whether the entry directly follows what was sent.
     fn is_next(&self, at: Version) -> bool {
         at == self.sent.max(self.synced).next()
     }
@@ -55,6 +55,8 @@
 }
 
 impl Chain {
+    /// On the head: appends a change to the log and sends it down the chain. Drops it if the head is not ready, the
+    /// chain has too few members, or there is no room.
     pub fn submit(&mut self, change: &Shared, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
         if !self.is_head()
@@ -72,7 +74,8 @@
         }
     }
 
-    /// Sends new entries on at once if the next member lacks none before them; else its progress asks for all.
+    /// Passes new entries on at once if the next member lacks none before them. Otherwise its next progress report
+    /// leads to `catch_up`.
     fn forward(&mut self, to: NodeId, view: ViewNo, entries: Vec<Entry>, ctx: &mut Context) {
         let (Some(first), Some(last)) = (entries.first(), entries.last()) else { return };
         if !self.successor.is_next(first.at) {
@@ -87,11 +90,13 @@
         ctx.free_disk_bytes >= MIN_WRITE_BYTES && !self.log.is_full()
     }
 
+    /// Saves an entry and appends it to the log.
     pub fn append_entry(&mut self, entry: Entry, ctx: &mut Context) {
         ctx.save(Record::Entry { entry: Box::new(entry.clone()) });
         self.log.push(entry);
     }
 
+    /// Tells the next member the last entry of this log, without entries.
     pub fn announce_log_end(&mut self, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
         let Some(next) = view.after(self.node_id) else { return };
@@ -99,6 +104,7 @@
         ctx.chain(next, ChainMsg::Append { view: view.no, is_announcement: true, log_last, entries: vec![] });
     }
 
+    /// Reports to the previous member what is synced and committed here.
     pub fn report_progress(&mut self, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
         let Some(prev) = view.before(self.node_id) else { return };
@@ -108,6 +114,8 @@
         ctx.chain(prev, ChainMsg::Progress { view, synced, committed, synced_to_tail });
     }
 
+    /// Appends entries from the previous member, passes them on and reports progress. A member becomes ready once
+    /// it holds all entries that its predecessor had. If an entry conflicts with one held here, the node is reset.
     pub fn on_append(
         &mut self,
         from: NodeId,
@@ -133,7 +141,7 @@
                 EntryFit::AlreadyHeld => {}
                 EntryFit::Gap => break,
                 EntryFit::Conflict => {
-                    let why = format!("entry {} differs from the one before it in the chain", e.at);
+                    let why = format!("entry {} conflicts with the entry of the previous member", e.at);
                     ctx.effects.push(Effect::Reset(why));
                     return;
                 }
@@ -153,6 +161,8 @@
         self.report_progress(ctx);
     }
 
+    /// Handles a progress report of the next member. If that member holds entries that are missing here, this node
+    /// has lost some, and is reset.
     pub fn on_progress(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
         let ChainMsg::Progress { view: view_no, synced, committed, synced_to_tail } = *msg else { return };
         let Some(view) = self.view.clone() else { return };
@@ -160,7 +170,7 @@
             return;
         }
         if synced > self.log.last() {
-            let why = format!("the next in the chain holds {synced}, this node only {}", self.log.last());
+            let why = format!("the next member holds {synced}, this node only {}", self.log.last());
             ctx.effects.push(Effect::Reset(why));
             return;
         }
@@ -173,7 +183,7 @@
         self.catch_up(from, view_no, synced, ctx);
     }
 
-    /// Sends what the next member lacks, unless that is under way already.
+    /// Sends what the next member lacks, unless it was sent lately: entries, or a snapshot if the log begins later.
     fn catch_up(&mut self, to: NodeId, view: ViewNo, synced: Version, ctx: &mut Context) {
         let Some(entries) = self.log.entries_after(synced) else { return self.send_snapshot(to, ctx) };
         if self.successor.is_under_way(ctx.now, RESEND_AFTER) {
@@ -199,12 +209,14 @@
         ctx.chain(to, ChainMsg::Snapshot { at, state });
     }
 
+    /// On the ready tail: commits all entries of the log.
     pub fn commit_if_tail(&mut self, ctx: &mut Context) {
         if self.is_tail() && self.is_ready {
             self.apply_up_to(self.log.last(), ctx);
         }
     }
 
+    /// Publishes the entries up to `upto` as committed, as far as they are held here.
     pub fn apply_up_to(&mut self, upto: Version, ctx: &mut Context) {
         let before = self.committed;
         while self.committed < upto {
@@ -219,4 +231,5 @@
     }
 }
 
+/// A change shared between components.
 pub type Shared = Arc<crate::fleet::state::Change>;
--- a/src/chain/reply.rs
+++ b/src/chain/reply.rs
@@ -1,4 +1,4 @@
-//! The answers to operators: what is known of a change, as a status and a body.
+//! Answers to operators: the outcome of a change as an HTTP status and a body.
 
 use crate::fleet::ledger::{LedgerEntry, TakenChange};
 use crate::fleet::state::{Decision, Outcome, OutcomeCode};
@@ -7,7 +7,7 @@
 use crate::kernel::fault::Fault;
 use crate::msg::Answer;
 
-/// The refusal of a document, with every fault found in it.
+/// The refusal of a document, listing every fault found in it.
 pub fn faults(bad: &[Fault]) -> Answer {
     let rows = bad.iter().map(|f| {
         map(&[
@@ -18,7 +18,7 @@
     });
     let body = map(&[
         ("code", OutcomeCode::BadConfiguration.to_string().into()),
-        ("text", "nothing was changed; mend every fault listed and send again".into()),
+        ("text", "nothing was changed; fix every listed fault and send again".into()),
         ("faults", rows.collect::<Vec<_>>().into()),
     ]);
     Answer {
@@ -29,7 +29,7 @@
     }
 }
 
-/// The status that tells an end.
+/// The HTTP status of an outcome.
 pub fn status(code: OutcomeCode) -> u16 {
     match code {
         OutcomeCode::Ok => 200,
@@ -40,13 +40,13 @@
     }
 }
 
-/// The answer to a change whose end is known.
+/// The answer to a change whose outcome is recorded.
 pub fn decided(decision: Decision) -> Answer {
     match decision {
         Decision::Outcome(outcome) => ended(outcome),
         Decision::Ledger(LedgerEntry::Taken(order)) => taken(&order),
         Decision::Ledger(LedgerEntry::Refused) => {
-            let text = "this very change was refused before; read the current one and send a new one";
+            let text = "this change was refused before; read the current configuration and send a new change";
             Answer::new(409, &OutcomeCode::StaleBase.to_string(), text, 0)
         }
         Decision::Ledger(LedgerEntry::NameInUse) => {
@@ -56,30 +56,30 @@
     }
 }
 
-/// The answer to a change whose end is kept in full.
+/// The answer to a change whose outcome is recorded in full.
 pub fn ended(outcome: &Outcome) -> Answer {
     Answer { status: status(outcome.code), body: outcome.tree().to_string(), retry_s: 0, redirect: None }
 }
 
-/// The answer to a change that is remembered as taken.
+/// The answer to a change of which only the acceptance is recorded.
 pub fn taken(order: &TakenChange) -> Answer {
     let body = map(&[
         ("id", order.id.to_string().into()),
         ("code", OutcomeCode::Ok.to_string().into()),
-        ("text", "it was taken before; changes may have been made on top of it".into()),
+        ("text", "it was accepted before; later changes may have been made on top of it".into()),
         ("version", order.at.to_string().into()),
     ]);
     Answer::ok(body.to_string())
 }
 
-/// The answer to a change that may have been taken so long ago that nobody remembers it.
+/// The answer to a change that may have been accepted so long ago that it is no longer recorded.
 pub fn outcome_unknown() -> Answer {
-    let text = "its base is older than this fleet remembers; it may have been taken: read the current one";
+    let text = "its base is older than the recorded changes, so it may have been accepted; read the current configuration";
     Answer::new(503, "outcome-unknown", text, 5)
 }
 
-/// Whether the end may be told: all copies that must be there have it, and a change that was taken is released
-/// (see `serving_leases`).
+/// Whether the outcome may be answered: enough members hold it, and an accepted change is released (see
+/// `serving_leases`).
 pub fn can_answer(decision: &Decision, views: &Views) -> bool {
     views.role.can_acknowledge && decision.taken_at().is_none_or(|at| at <= views.released)
 }
--- a/src/chain/serving_leases.rs
+++ b/src/chain/serving_leases.rs
@@ -1,14 +1,15 @@
-//! The ledger of serving leases, kept by all members of the chain, and the version up to which changes are released.
+//! The ledger of serving leases, kept by all members of the chain, and the version up to which changes are
+//! released.
 //!
-//! Routers serve by a lease for longer than `proof` after their last contact (see
-//! `distribution::serving_lease`). So that nobody is served by an old configuration `proof` after a newer one was
-//! acknowledged, the head acknowledges a change only once it is *released*: each router that holds a lease has
-//! confirmed it, or has at most `proof` left of that lease.
+//! With a serving lease a router may serve for longer than the freshness limit after its last contact (see
+//! `distribution::serving_lease`). No request may be served by an old configuration more than the freshness limit
+//! after a newer one was acknowledged. So the head acknowledges a change only once it is *released*: each router
+//! with a lease has confirmed the change, or its lease ends within the freshness limit.
 //!
-//! Requests enter at the head and go along the chain; each member records one in memory before the next member
-//! gets it, and the tail grants it. So whichever member is the next tail has the whole ledger. A member that is
-//! new in the chain, or was restarted, counts all that it can't know as running for a whole lease from then, or
-//! until its predecessor has given it the ledger (`ledger_transfer`).
+//! Requests enter at the head and travel along the chain. Each member records a request in memory before the next
+//! member gets it, and the tail grants it, so whichever member becomes the tail has the whole ledger. A new or
+//! restarted member assumes that leases it does not know of run for a whole lease duration from then, or until its
+//! predecessor has sent it the ledger (`ledger_transfer`).
 
 use super::lease::LEASE_DURATION;
 use super::ledger_transfer::LedgerRequest;
@@ -21,27 +22,27 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What one node's clock may lose against another's while a lease runs.
+/// How far the clocks of two nodes may drift apart while a lease runs.
 pub const CLOCK_DRIFT_MARGIN: Span = Span::ms(20);
-/// How often the released version is told up the chain again.
+/// How often the released version is sent up the chain again.
 const RELEASED_INTERVAL: Span = Span::ms(150);
 
-/// A router with a lease.
+/// A router with a serving lease.
 #[derive(Clone)]
 pub(super) struct LeaseHolder {
     pub(super) until: Time,
-    /// What it has confirmed to have.
+    /// The versions that it has confirmed to have.
     pub(super) versions: Vec<Version>,
     pub(super) address: Option<SocketAddr>,
     pub(super) number: LeaseNumber,
 }
 
-/// Component of the controllers that keeps the ledger, and passes on what is released.
+/// The component of the controllers that keeps the ledger and publishes the released version.
 #[derive(Clone, Default)]
 pub struct ServingLeases {
     pub(super) holders: BTreeMap<NodeId, LeaseHolder>,
     history: VersionHistory,
-    /// The view in which this node is a member, and the ledger is whole but for what `unknown_until` covers.
+    /// The view in which this node is a member. The ledger is complete except for what `unknown_until` covers.
     view: Option<ViewNo>,
     unknown_until: Time,
     pending: Vec<LeaseApplication>,
@@ -51,18 +52,19 @@
 }
 
 impl ServingLeases {
-    /// Until when serving leases that this member doesn't know of may run.
+    /// Until when serving leases that this member does not know of may run.
     pub fn unknown_until(&self) -> Time {
         self.unknown_until
     }
 
-    /// All leases that this member doesn't know of have ended by `until`.
+    /// Records that all leases that this member does not know of end by `until`.
     pub(super) fn limit_unknown_until(&mut self, until: Time) {
         self.unknown_until = self.unknown_until.min(until);
     }
 
-    /// Follows the view. A member that was in the chain of the view before has recorded every application that
-    /// was granted in it; another one, or one that was restarted, counts a whole lease for what it doesn't know.
+    /// Follows a change of view. A member of the previous view has recorded every application granted in it. Any
+    /// other member, or a restarted one, clears its ledger and assumes a whole lease duration for what it does not
+    /// know.
     fn follow_view(&mut self, ctx: &mut Context) {
         let view = ctx.views.role.view;
         if self.view == Some(view) {
@@ -84,8 +86,8 @@
         role.is_tail && self.view == Some(role.view) && ctx.now < role.lease_until
     }
 
-    /// The view that this node and its chain agree on. A member that hears no majority stays silent: its letters
-    /// would count as signs of life, and it would not be left out.
+    /// The current view, if the chain component of this node has the same. None on a member that hears no majority:
+    /// its messages would make it look alive, and it would not be removed from the chain.
     pub(super) fn current_view(&self, ctx: &Context) -> Option<View> {
         if ctx.views.role.is_isolated {
             return None;
@@ -93,7 +95,7 @@
         ctx.views.view.clone().filter(|v| Some(v.no) == self.view && v.no == ctx.views.role.view)
     }
 
-    /// At the head: a request is numbered and goes along the chain with the others of this moment.
+    /// On the head: numbers a request, which then goes along the chain with all others since the last tick.
     fn on_lease_request(&mut self, router: NodeId, request: &ServingLeaseRequest, ctx: &mut Context) {
         let view = self.current_view(ctx).filter(|v| v.head() == Some(ctx.me.node));
         let Some(view) = view else {
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Records applications, and passes them on; the tail grants them.
+    /// Records applications and passes them on; the tail grants them.
     fn on_applications(&mut self, view_no: ViewNo, rows: &[LeaseApplication], ctx: &mut Context) {
         let Some(view) = self.current_view(ctx).filter(|v| v.no == view_no) else { return };
         self.history.record(&ctx.views.state);
@@ -134,7 +136,7 @@
         self.holders.insert(a.router, LeaseHolder { until, versions, address: a.address, number: a.number });
     }
 
-    /// The tail grants a lease to a router that has the newest of everything; else it only notes what it has.
+    /// On the tail: grants a lease to a router that has the newest versions; otherwise only records which it has.
     fn grant_or_note(&mut self, a: &LeaseApplication, ctx: &mut Context) {
         if self.history.is_newest(&a.request.versions) {
             self.record(a, ctx);
@@ -151,8 +153,9 @@
         }
     }
 
-    /// A process that got a grant is alive after it. Another one at its address that had asked before has ended
-    /// since: two processes never hold one address at a time.
+    /// Drops the leases of earlier processes at the same address. A process that received a grant was alive after
+    /// it, so another process at its address whose request came before that grant has ended: two processes never
+    /// have one address at a time.
     fn drop_ended_processes(&mut self, a: &LeaseApplication) {
         if a.address.is_some() {
             let ended = |id: &NodeId, h: &LeaseHolder| {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// The newest version that no router can be behind of for longer than `proof` from now.
+    /// The newest version that no router can be behind for longer than the freshness limit from now.
     fn releasable_version(&mut self, ctx: &Context) -> Version {
         let horizon = ctx.now + ctx.me.freshness_limit;
         if self.unknown_until + CLOCK_DRIFT_MARGIN > horizon {
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Tells the member before this one in the chain, which tells the one before it.
+    /// Sends the released version to the previous member, which passes it on up the chain.
     fn send_released(&mut self, ctx: &mut Context) {
         self.released_sent_at = ctx.now;
         let Some(view) = self.current_view(ctx) else { return };
--- a/src/chain/version_history.rs
+++ b/src/chain/version_history.rs
@@ -1,4 +1,4 @@
-//! The versions of all that routers serve by, as the chain went on: to know what a router has confirmed.
+//! The history of the versions that routers serve by, from which follows what a router has confirmed.
 
 use crate::fleet::FleetState;
 use crate::fleet::serving::serving_scopes;
@@ -7,17 +7,17 @@
 use crate::kernel::ids::*;
 use std::collections::VecDeque;
 
-/// How many sets of versions are remembered.
+/// How many version sets are kept.
 const MAX_SETS: usize = 64;
 
-/// The versions of all that routers serve by, and the first version of the chain at which they were that.
+/// The versions of all scopes that routers serve by, and the chain version from which on these were the newest.
 #[derive(Clone)]
 struct VersionSet {
     from: Version,
     versions: Vec<Version>,
 }
 
-/// The versions that routers serve by, as the chain went on.
+/// The latest version sets, oldest first.
 #[derive(Clone, Default)]
 pub struct VersionHistory {
     sets: VecDeque<VersionSet>,
@@ -31,7 +31,8 @@
         self.sets.clear();
     }
 
-    /// Adds the present set if it differs from the last one. Versions that were skipped count as the new set's.
+    /// Adds the set of `state` if it differs from the last one. Chain versions that were skipped count as the new
+    /// set's.
     pub fn record(&mut self, state: &FleetState) {
         if state.at == self.seen && !self.sets.is_empty() {
             return;
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Whether these are the versions of now.
+    /// Whether these are the newest versions.
     pub fn is_newest(&self, versions: &[Version]) -> bool {
         self.sets.back().is_some_and(|s| s.versions == versions)
     }
 
-    /// The last version of the chain up to which a router that has these versions has everything. A set that is
-    /// not known here, or forgotten, covers nothing.
+    /// The last chain version up to which a router with these versions has everything. 0 for a set that is unknown
+    /// or no longer kept.
     pub fn covered_version(&self, versions: &[Version]) -> Version {
         let Some(place) = self.sets.iter().rposition(|s| s.versions == versions) else { return Version(0) };
         self.sets.get(place + 1).map_or(self.seen, |next| Version(next.from.0 - 1))
--- a/src/chain/view.rs
+++ b/src/chain/view.rs
@@ -1,22 +1,23 @@
-//! A view: the chain in order and the voters that decide the next view.
+//! A view: the chain in order, and the voters that decide the next view.
 //!
-//! Views are numbered. View n+1 is chosen by a majority of the voters of view n. One view changes either the
-//! chain or the votes, but for a member that leaves on purpose, which passes its vote on as it goes. A vote only
-//! ever goes to a member of the current chain, so no view counts on a voter that has not synced the state yet.
+//! Views are numbered, and view n+1 is chosen by a majority of the voters of view n. A view changes either the
+//! chain or the voters, with one exception: a member that leaves on purpose passes its vote on in the same view. A
+//! vote is given only to a member of the current chain, so no view depends on a voter that has not synced the state
+//! yet.
 #![deny(missing_docs)]
 
 use crate::kernel::component::LocalNode;
 use crate::kernel::ids::*;
 use bitcode::{Decode, Encode};
 
-/// The chain and its voters under one number.
+/// One numbered configuration of the chain.
 #[derive(Clone, PartialEq, Eq, Debug, Encode, Decode)]
 pub struct View {
-    /// The number; views are installed in rising order.
+    /// The view number; views are installed in rising order.
     pub no: ViewNo,
-    /// The members that hold the state, head first.
+    /// The members that replicate the state, head first.
     pub chain: Vec<NodeId>,
-    /// Those whose majority grants leases in this view and decides the next one.
+    /// The nodes whose majority grants leases in this view and decides the next one.
     pub voters: Vec<NodeId>,
 }
 
@@ -48,37 +49,38 @@
         self.chain.get(at + 1).copied()
     }
 
-    /// How many voters decide.
+    /// The number of voters that make a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Members and voters, each once.
+    /// All members and voters, without duplicates.
     pub fn all(&self) -> Vec<NodeId> {
         let mut all = self.chain.clone();
         all.extend(self.voters.iter().filter(|v| !self.chain.contains(v)));
         all
     }
 
-    /// Whether a voter is no longer in the chain, so that its vote may be given to a member.
+    /// Whether some voter is no longer in the chain, so that its vote can be given to a member.
     pub fn has_vacant_vote(&self) -> bool {
         self.voters.iter().any(|v| !self.chain.contains(v))
     }
 
-    /// The members without a vote, last in the chain first.
+    /// The members without a vote, from the tail to the head.
     pub fn without_vote(&self) -> Vec<NodeId> {
         let free = self.chain.iter().copied().filter(|n| !self.voters.contains(n));
         free.rev().collect()
     }
 
-    /// The next view without `lost`; they keep their votes until a member takes them.
+    /// The next view without the members in `lost`; these keep their votes until a member takes them over.
     pub fn without(&self, lost: &[NodeId]) -> View {
         let mut next = self.next();
         next.chain.retain(|n| !lost.contains(n));
         next
     }
 
-    /// The next view with `new` at the end of the chain, without a vote; none if the chain is full.
+    /// The next view with `new` at the end of the chain and without a vote. `None` if the chain is full and no vote
+    /// is vacant.
     pub fn with(&self, new: NodeId, me: &LocalNode) -> Option<View> {
         if self.chain.len() >= me.max_chain_length() && !self.has_vacant_vote() {
             return None;
@@ -88,8 +90,8 @@
         Some(next)
     }
 
-    /// The next view, in which the first of `candidates` take vacant votes and votes still to be given out;
-    /// none if there is no vote to take.
+    /// The next view, in which the first of `candidates` take the vacant votes and those that the fleet has not
+    /// given out yet. `None` if there is no vote to take.
     pub fn with_votes_for(&self, candidates: &[NodeId], me: &LocalNode) -> Option<View> {
         let mut next = self.next();
         let mut free = next.give_vacant_votes(candidates);
@@ -100,14 +102,14 @@
         (next.voters != self.voters).then_some(next)
     }
 
-    /// The next view without `leaver`, its vote passed to the first of `candidates`; without any it keeps it.
+    /// The next view without `leaver`. Its vote goes to the first of `candidates`; it keeps it if there are none.
     pub fn without_leaver(&self, leaver: NodeId, candidates: &[NodeId]) -> View {
         let mut next = self.without(&[leaver]);
         next.give_vacant_votes(candidates);
         next
     }
 
-    /// The first view of a fleet.
+    /// The first view of a fleet, with `chain` as its members.
     pub fn founded(chain: Vec<NodeId>, me: &LocalNode) -> View {
         let mut voters = chain.clone();
         if me.core_size == 0 {
@@ -120,7 +122,7 @@
         View { no: self.no.next(), chain: self.chain.clone(), voters: self.voters.clone() }
     }
 
-    /// Gives the votes of those outside the chain to `candidates`, and returns the candidates left over.
+    /// Gives the votes of nodes outside the chain to `candidates`, and returns the candidates left over.
     fn give_vacant_votes(&mut self, candidates: &[NodeId]) -> Vec<NodeId> {
         let mut free = candidates.to_vec();
         for voter in &mut self.voters {
--- a/src/chain/view_change.rs
+++ b/src/chain/view_change.rs
@@ -1,8 +1,8 @@
-//! The proposer: changing the view when a member is lost, or takes a vacant vote.
+//! The proposer: changes the view when a member is lost or leaves, or when a vote is to be taken over.
 //!
-//! A proposer asks the voters of its view for promises, takes over the view accepted under the highest ballot
-//! among them if there is one, and has it accepted by a majority. Its ballot is synced before the first message
-//! leaves, so that a node that restarts never uses one ballot for two views.
+//! A proposer asks the voters of its view for promises (`Prepare`). If a promise reports an accepted view, the one
+//! with the highest ballot replaces its own. It then asks the voters to accept, and a majority decides. The ballot
+//! is synced before the first message leaves, so a restarted node never uses one ballot for two views.
 #![deny(missing_docs)]
 
 use super::acceptor::AcceptedView;
@@ -14,32 +14,28 @@
 use crate::msg::*;
 use std::collections::BTreeSet;
 
-/// A proposal without a decision is given up after this span.
+/// A proposal that is not decided after this time is dropped.
 pub const PROPOSAL_TIMEOUT: Span = Span::ms(1500);
 /// How often `Prepare` is repeated until a majority has promised.
 const PREPARE_INTERVAL: Span = Span::ms(200);
 /// Each place in the chain waits this much longer, so that the first live member proposes.
-const RANK_STEP_MS: u64 = 200;
-/// A lost member keeps its vote for this span; then a ready member without one takes it.
-const VACANT_VOTE_DELAY: Span = Span::ms(1000);
-/// How long a new member puts off asking for a lease while it is given its vote.
-const FIRST_VOTE_WINDOW: Span = Span::ms(500);
-/// After losing to a higher ballot a proposer rests for this span and a random part.
+pub(super) const RANK_STEP_MS: u64 = 200;
+/// After losing to a higher ballot a proposer waits this long, plus a random jitter.
 const BACKOFF: Span = Span::ms(100);
 const BACKOFF_JITTER_MS: u64 = 400;
 
 /// This node's own proposal of the next view.
 #[derive(Clone)]
 pub struct ViewProposal {
-    /// The number proposed.
+    /// The number of the proposed view.
     pub view_no: ViewNo,
-    /// The ballot, this node's alone.
+    /// The ballot, unique to this node.
     pub ballot: Ballot,
-    /// The view to be accepted.
+    /// The view that the voters are asked to accept.
     pub proposed_view: View,
     /// The voters that promised.
     pub promises: BTreeSet<NodeId>,
-    /// What was accepted under the highest ballot among those promises.
+    /// The view with the highest ballot among those that the promises report as accepted.
     pub accepted: Option<AcceptedView>,
     /// The voters that accepted.
     pub accepts: BTreeSet<NodeId>,
@@ -47,14 +43,15 @@
     pub is_accept_sent: bool,
     /// When the proposal began.
     pub started_at: Time,
-    /// The member because of whose silence the view is to change.
+    /// The first of the silent members that the view leaves out.
     pub lost_member: Option<NodeId>,
     /// When `Prepare` was sent last.
     pub prepare_sent_at: Time,
 }
 
 impl Chain {
-    /// Leaves out members that fell silent; without any, leaves on purpose or takes a vacant vote.
+    /// Proposes a view without members that fell silent; failing that, leaves if this node was told to stop, or
+    /// takes over a vote.
     pub fn repair_view(&mut self, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
         if !self.in_chain() || !self.is_ready || !self.hears_majority(ctx.now) {
@@ -100,7 +97,7 @@
         self.propose_view(next, lost.first().copied(), longest, ctx);
     }
 
-    /// Says `Prepare` again: voters may still hear the member that is to be left out, or not know this view yet.
+    /// Repeats `Prepare`: voters may have still heard the lost member, or not have known this view yet.
     fn repeat_prepare(&mut self, ctx: &mut Context) {
         let Some(proposal) = &self.proposal else { return };
         let (view_no, ballot, lost_member) = (proposal.view_no, proposal.ballot, proposal.lost_member);
@@ -111,7 +108,8 @@
         self.send_to_voters(ChainMsg::Prepare { view_no, ballot, lost_member, silence }, ctx);
     }
 
-    /// Begins a proposal of `want`. The ballot is saved first; the kernel sends nothing before it is synced.
+    /// Starts a proposal of the view `want`. The ballot is saved first; the kernel sends nothing before it is
+    /// synced. Does nothing if this node, or a majority of the voters, cannot write.
     pub fn propose_view(
         &mut self,
         want: View,
@@ -146,7 +144,7 @@
         self.send_to_voters(ChainMsg::Prepare { view_no, ballot, lost_member, silence }, ctx);
     }
 
-    /// Counts a promise; with a majority of them asks the voters to accept.
+    /// Counts a promise; once a majority has promised, asks the voters to accept.
     pub fn on_promise(
         &mut self,
         from: NodeId,
@@ -177,7 +175,8 @@
         }
     }
 
-    /// Counts an acceptance; with a majority of them the view is decided.
+    /// Counts an acceptance; once a majority has accepted, the view is decided and sent to all members of both
+    /// views.
     pub fn on_accepted(&mut self, from: NodeId, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) {
         let (Some(view), Some(proposal)) = (self.view.clone(), &mut self.proposal) else { return };
         if proposal.view_no != view_no || proposal.ballot != ballot || !view.voters.contains(&from) {
@@ -206,47 +205,7 @@
         }
     }
 
-    /// A ready member without a vote proposes to take one: a new member at once, others when the lost member has
-    /// had time to come back. What makes it ready is synced by then, so its vote can be counted on.
-    fn propose_own_vote(&mut self, view: &View, ctx: &mut Context) {
-        let Some(next) = self.view_with_own_vote(view, ctx) else { return };
-        let rank = self.vote_candidates(view, ctx.now).len() as u64 - 1;
-        let wait = VACANT_VOTE_DELAY + Span::ms(rank * RANK_STEP_MS);
-        if self.awaits_first_vote(ctx) || ctx.now.since(self.view_installed_at) >= wait {
-            self.propose_view(next, None, Span(0), ctx);
-        }
-    }
-
-    /// The next view in which this member has a vote, if it has none and there is one to take.
-    pub fn view_with_own_vote(&self, view: &View, ctx: &Context) -> Option<View> {
-        if !self.is_ready || self.departure.is_some() {
-            return None;
-        }
-        let candidates = self.vote_candidates(view, ctx.now);
-        if !candidates.contains(&self.node_id) {
-            return None;
-        }
-        view.with_votes_for(&candidates, ctx.me)
-    }
-
-    /// Members without a vote that are heard: this node first if it is one, then those before it in the chain.
-    /// A member joins only behind a ready one, so with this node all before it are ready.
-    pub fn vote_candidates(&self, view: &View, now: Time) -> Vec<NodeId> {
-        let place = |n: &NodeId| view.chain.iter().position(|c| c == n);
-        let before =
-            |n: &NodeId| place(n) <= place(&self.node_id) && self.is_heard(*n, now) && !self.is_leaving(*n);
-        view.without_vote().into_iter().filter(before).collect()
-    }
-
-    /// Whether this node just became a ready member and there is a vote for it. It is then the tail, and no lease
-    /// runs yet that the change of votes would have to wait for, so it asks for its lease only afterwards.
-    pub fn awaits_first_vote(&self, ctx: &Context) -> bool {
-        let Some(view) = &self.view else { return false };
-        let new = ctx.now.since(self.ready_since) < FIRST_VOTE_WINDOW && !self.has_reported_ready;
-        new && self.view_with_own_vote(view, ctx).is_some()
-    }
-
-    /// Gives way to a higher ballot for a while.
+    /// Drops the proposal in favour of a higher ballot and backs off.
     pub fn on_nack(&mut self, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) {
         self.acceptor.highest_round = self.acceptor.highest_round.max(ballot.round);
         if self.proposal.as_ref().is_some_and(|b| b.view_no == view_no && b.ballot < ballot) {
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -1,3 +1,5 @@
+//! The messages of membership: gossip with partners, full exchanges when digests differ, and greeting the seeds.
+
 use super::service::{Membership, Partner, SUSPECT_AFTER};
 use crate::chain::view::View;
 use crate::kernel::component::Context;
@@ -5,9 +7,13 @@
 use crate::kernel::time::Span;
 use crate::msg::*;
 
+/// How long digests may differ before a full exchange is requested.
 const DIFFERENCE_GRACE: Span = Span::ms(300);
+/// How often a node sends everything it knows at most.
 const SNAPSHOT_INTERVAL: Span = Span::ms(50);
+/// The most rows and the most marks in one message.
 const MAX_ROWS: usize = 32;
+/// How many of the latest changes a new partner is sent.
 const RECENT_CHANGES: u64 = 64;
 
 impl Membership {
@@ -18,6 +24,7 @@
         self.partners.entry(node).or_insert_with(fresh)
     }
 
+    /// Merges what a partner sent.
     pub fn merge_gossip(&mut self, from: NodeId, g: &Gossip, ctx: &mut Context) {
         for c in &g.rows {
             self.table.merge(c, ctx.me, ctx.now);
@@ -31,8 +38,8 @@
         partner.heard_at = Some(ctx.now);
     }
 
-    /// What changed since the last letter to this partner. A partner that doesn't answer may not know where
-    /// this node is reached, so the letter to it names this node too.
+    /// What changed since the last message to this partner. A partner that does not answer may not know the address
+    /// of this node, so the message to it includes this node's own row.
     pub fn next_gossip(&mut self, to: NodeId, ctx: &Context) -> Gossip {
         self.partner_entry(to);
         let Some(p) = self.partners.get_mut(&to) else { return Gossip::default() };
@@ -49,14 +56,16 @@
         Gossip { digest: self.table.digest ^ self.marks.digest, rows, marks, view_at: no, view }
     }
 
+    /// Everything that this node knows.
     pub fn full_gossip(&self, ctx: &Context) -> Gossip {
         let (rows, marks) = (self.table.all(ctx.me, ctx.now), self.marks.since(0, usize::MAX, ctx.now).0);
         let (view_at, view) = (view_no(ctx), ctx.views.view.clone());
         Gossip { digest: self.table.digest ^ self.marks.digest, rows, marks, view_at, view }
     }
 
-    /// Asks a partner for all it knows where its digest differs from this node's for a while. A partner that
-    /// this node has no row of can't be reached, so it isn't asked: another one is, at its next letter.
+    /// Requests a full exchange from a partner whose digest has differed for a while. The request waits longer
+    /// after several tries, and is made at once while a member of the view is unknown. A partner without a row here
+    /// cannot be reached and is not asked; another one is asked when its next message comes.
     pub fn compare_digest(&mut self, from: NodeId, digest: u64, ctx: &mut Context) {
         let same = digest == self.table.digest ^ self.marks.digest;
         let Some(p) = self.partners.get_mut(&from) else { return };
@@ -77,6 +86,7 @@
         }
     }
 
+    /// Greets the seeds now and then: often while few nodes are known, and more rarely the more are.
     pub fn greet_seeds(&mut self, ctx: &mut Context) {
         let (known, empty) = (self.table.rows.len() as u64, ctx.views.fleet == FleetId(0));
         let wait = match known {
@@ -94,6 +104,7 @@
         }
     }
 
+    /// Handles the messages of membership.
     pub fn on_message(&mut self, from: NodeId, msg: &Msg, ctx: &mut Context) {
         match msg {
             Msg::Hello { me, digest, .. } => {
@@ -144,10 +155,12 @@
     }
 }
 
+/// The number of the newest view that this node knows; 0 without one.
 pub fn view_no(ctx: &Context) -> ViewNo {
     ctx.views.view.as_ref().map_or(ViewNo(0), |v| v.no)
 }
 
+/// Publishes a view that is newer than the known one.
 fn publish_if_newer(view: &View, ctx: &mut Context) {
     if ctx.views.older(view) {
         ctx.publish(JournalEvent::ViewHeard(view.clone()));
--- a/src/membership/marks.rs
+++ b/src/membership/marks.rs
@@ -1,4 +1,4 @@
-//! Runners marked as leaving, spread like the rows of the table: by changes and a digest.
+//! The runners marked as leaving, which spread like the rows of the table: as changes, checked by a digest.
 #![deny(missing_docs)]
 
 use crate::kernel::component::Context;
@@ -10,23 +10,23 @@
 
 /// How long a mark is kept.
 const MARK_TTL: Span = Span::ms(600_000);
-/// How many marks are kept; the oldest goes first.
+/// How many marks are kept; the oldest is dropped first.
 const MAX_MARKS: usize = 2048;
 
-/// The marked runners this node knows of.
+/// The marked runners that this node knows.
 #[derive(Default)]
 pub struct Marks {
-    /// When each was marked, and the number of that change.
+    /// When each runner was marked, and the change number of the mark.
     rows: BTreeMap<Name, (Time, u64)>,
     change_order: BTreeMap<u64, Name>,
     /// The number of the last change.
     pub seq: u64,
-    /// Over all names; equal on two nodes that know the same marks.
+    /// A digest of all names; equal on two nodes that know the same marks.
     pub digest: u64,
 }
 
 impl Marks {
-    /// Marks a runner, as of `age` ago.
+    /// Marks a runner as leaving since `age` ago.
     pub fn add(&mut self, name: &Name, age: Span, ctx: &mut Context) {
         if age >= MARK_TTL || self.rows.contains_key(name) {
             return;
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Takes in marks that another node sent.
+    /// Merges marks that another node sent.
     pub fn merge(&mut self, marks: &[Mark], ctx: &mut Context) {
         for m in marks {
             self.add(&m.instance, m.age, ctx);
         }
     }
 
-    /// Marks runners that a list of runners shows as leaving.
+    /// Marks runners that the list of runners shows as leaving.
     pub fn add_listed(&mut self, names: &[Name], ctx: &mut Context) {
         for name in names {
             self.add(name, Span(0), ctx);
@@ -72,7 +72,7 @@
         old.iter().for_each(|n| self.drop(n));
     }
 
-    /// At most `most` marks after change `seq`, and the number up to which they go.
+    /// At most `most` marks after change `seq`, and the change number up to which they reach.
     pub fn since(&self, seq: u64, most: usize, now: Time) -> (Vec<Mark>, u64) {
         let rows: Vec<(&u64, &Name)> = self.change_order.range(seq + 1..).take(most).collect();
         let upto = if rows.len() < most { self.seq } else { rows.last().map_or(self.seq, |r| *r.0) };
--- a/src/membership/messages.rs
+++ b/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other about who there is.
+//! The messages of membership and the types in them.
 #![deny(missing_docs)]
 
 use crate::chain::view::View;
@@ -7,27 +7,27 @@
 use bitcode::{Decode, Encode};
 use std::net::SocketAddr;
 
-/// What a node does.
+/// The role of a node.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Encode, Decode)]
 pub enum Role {
-    /// Takes requests and passes them to runners.
+    /// Takes requests and forwards them to runners.
     Router,
-    /// A member, or one to be, of the chain.
+    /// A member of the chain, or a candidate for it.
     Controller,
 }
 
-/// A node as others know it.
+/// The identity and addresses of a node.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct Member {
     /// Its id, drawn at its first start and kept on its disk if it has one.
     pub node: NodeId,
-    /// What it does.
+    /// Its role.
     pub role: Role,
     /// Its zone.
     pub domain: Name,
-    /// Where other nodes reach it.
+    /// Its address for other nodes.
     pub addr: SocketAddr,
-    /// Where operators reach it.
+    /// Its address for operators.
     pub admin: SocketAddr,
 }
 
@@ -36,18 +36,18 @@
 pub struct MemberRow {
     /// The node.
     pub who: Member,
-    /// How long nothing was heard of it; 0 while it counts as live.
+    /// How long it has been silent; 0 while it counts as live.
     pub silence: Span,
 }
 
-/// What one node says of another.
+/// What one node says about another.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct Claim {
     /// The node it is about.
     pub who: Member,
-    /// Whether it is said to live.
+    /// Whether it is said to be live.
     pub is_live: bool,
-    /// How long ago its evidence was gathered.
+    /// The age of the evidence for this.
     pub age: Span,
 }
 
@@ -60,17 +60,17 @@
     pub age: Span,
 }
 
-/// What two partners exchange.
+/// What two partners send each other.
 #[derive(Clone, PartialEq, Debug, Default, Encode, Decode)]
 pub struct Gossip {
-    /// Over all that the sender knows.
+    /// A digest of all that the sender knows.
     pub digest: u64,
-    /// The number of the view it knows.
+    /// The number of the newest view that the sender knows.
     pub view_at: ViewNo,
-    /// Rows that changed since the last letter to this partner, or all.
+    /// The rows that changed since the last message to this partner, or all rows.
     pub rows: Vec<Claim>,
-    /// Marks likewise.
+    /// The marks that changed since then, or all marks.
     pub marks: Vec<Mark>,
-    /// The view, if the receiver's is older.
+    /// The sender's view, if the receiver's is older.
     pub view: Option<View>,
 }
--- a/src/membership/rendezvous.rs
+++ b/src/membership/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: which nodes watch a node, and which router is the home of a topic.
+//! Rendezvous hashing: which nodes watch a node, and which router is responsible for a topic (its home).
 #![deny(missing_docs)]
 
 use crate::kernel::ids::NodeId;
@@ -12,26 +12,26 @@
     mix(of.0 ^ mix(by.0))
 }
 
-/// All candidates for the home of a topic, the best first.
+/// All nodes in the order in which they are candidates for the home of a topic, best first.
 pub fn homes(scope: &str, all: &[NodeId]) -> Vec<NodeId> {
     let mut rows: Vec<(u64, NodeId)> = all.iter().map(|n| (hash(scope, n.0), *n)).collect();
     rows.sort();
     rows.into_iter().map(|r| r.1).collect()
 }
 
-/// The home of a topic among the live routers.
+/// The home of a topic among `all`; none if that is empty.
 pub fn home(scope: &str, all: &[NodeId]) -> Option<NodeId> {
     all.iter().copied().min_by_key(|n| (hash(scope, n.0), *n))
 }
 
-/// The watchers of each known node, kept up to date as nodes come and go.
+/// The watchers of each known node, updated as nodes come and go.
 #[derive(Default)]
 pub struct WatchAssignments {
     /// The live nodes, which may watch others.
     live: BTreeSet<NodeId>,
-    /// The best of the pool for each known node, with their weights.
+    /// The chosen watchers of each known node, with their weights.
     watchers_of: BTreeMap<NodeId, Vec<(u64, NodeId)>>,
-    /// Raised by each change of who watches whom.
+    /// Raised by each change of the assignments.
     pub generation: u64,
 }
 
@@ -44,7 +44,7 @@
         best
     }
 
-    /// A node became known and is watched from now on.
+    /// Adds a node that became known; it is watched from now on.
     pub fn add_watched(&mut self, of: NodeId) {
         if !self.watchers_of.contains_key(&of) {
             self.generation += 1;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A node is forgotten.
+    /// Removes a node that is forgotten.
     pub fn remove_watched(&mut self, of: NodeId) {
         self.remove_watcher(of);
         if self.watchers_of.remove(&of).is_some() {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A node is live and may watch others.
+    /// Adds a live node, which may watch others.
     pub fn add_watcher(&mut self, by: NodeId) {
         if self.live.insert(by) {
             self.generation += 1;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A node fell silent; others take over what it watched.
+    /// Removes a silent node as a watcher; others take over what it watched.
     pub fn remove_watcher(&mut self, by: NodeId) {
         if !self.live.remove(&by) {
             return;
--- a/src/membership/service.rs
+++ b/src/membership/service.rs
@@ -1,3 +1,6 @@
+//! The membership component: pings the watched nodes, detects silent ones, spreads changes and publishes the
+//! members.
+
 use super::exchange::view_no;
 use super::marks::Marks;
 use super::table::Table;
@@ -9,45 +12,67 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// How often a node pings the nodes that it watches.
 pub const PING_INTERVAL: Span = Span::ms(200);
+/// After this silence a watched node is suspected: its other watchers are asked whether they heard it.
 pub const SUSPECT_AFTER: Span = Span::ms(600);
+/// A tick this long after the last one follows a suspension of this process; silences are then counted anew.
 const STALL_LIMIT: Span = Span::ms(600);
+/// How often changes are sent to partners at most.
 const FLUSH_INTERVAL: Span = Span::ms(20);
+/// How often the members are published anew while one is quiet, so that its silence is up to date.
 const AGE_REFRESH_INTERVAL: Span = Span::ms(2000);
 
+/// What a node keeps about a partner: a node that it watches or is watched by.
 #[derive(Default)]
 pub struct Partner {
+    /// The change number up to which rows were sent to it.
     pub sent_seq: u64,
+    /// The change number up to which marks were sent to it.
     pub sent_marks_seq: u64,
+    /// The number of the newest view that it knows.
     pub known_view: ViewNo,
+    /// Since when its digest has differed from the one of this node.
     pub differs_since: Option<Time>,
-    /// When its last letter came; none since this node made it a partner.
+    /// When it was last heard from; none if not yet since it became a partner.
     pub heard_at: Option<Time>,
 }
 
+/// The membership component of a node.
 #[derive(Default)]
 pub struct Membership {
+    /// All known nodes.
     pub table: Table,
+    /// The runners marked as leaving.
     pub marks: Marks,
+    /// The partners of this node.
     pub partners: BTreeMap<NodeId, Partner>,
+    /// The nodes that this node watches, and since when.
     watched: BTreeMap<NodeId, Time>,
+    /// The generation of the watch assignments that `watched` reflects.
     watch_generation: u64,
     ping_rounds: u64,
     pinged_at: Time,
+    /// When the seeds were last greeted.
     pub greeted_at: Time,
     ticked_at: Time,
     flushed_at: Time,
     expired_rows_dropped_at: Time,
+    /// When a full exchange was last requested.
     pub sync_requested_at: Time,
+    /// When everything known was last sent.
     pub snapshot_sent_at: Time,
+    /// How many full exchanges were requested since digests last agreed.
     pub sync_tries: u64,
+    /// Which nodes were live when the members were last published.
     published_live: BTreeMap<NodeId, bool>,
-    /// Whether a node is shown as quiet, so that its row grows older.
+    /// Whether a node was published as quiet, so that its published silence has to be refreshed.
     has_quiet_node: bool,
     published_at: Time,
 }
 
 impl Membership {
+    /// Follows a change of the watch assignments.
     fn refresh_watch(&mut self, ctx: &Context) {
         if self.watch_generation == self.table.watch.generation {
             return;
@@ -61,6 +86,7 @@
         self.partners.retain(|n, _| self.watched.contains_key(n) || watchers.contains(n));
     }
 
+    /// Pings the watched nodes, suspected and quiet ones included; quiet ones only in every third round.
     fn send_pings(&mut self, ctx: &mut Context) {
         self.ping_rounds += 1;
         self.refresh_watch(ctx);
@@ -86,6 +112,7 @@
         }
     }
 
+    /// Sends changes to partners that lack them.
     fn send_changes(&mut self, ctx: &mut Context) {
         if ctx.now.since(self.flushed_at) < FLUSH_INTERVAL {
             return;
@@ -108,6 +135,7 @@
         }
     }
 
+    /// Publishes the members if they have changed.
     fn publish_rows(&mut self, ctx: &mut Context) {
         let aged = self.has_quiet_node && ctx.now.since(self.published_at) >= AGE_REFRESH_INTERVAL;
         let settled = self.table.next_settles_at.is_some_and(|at| ctx.now >= at);
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -1,3 +1,6 @@
+//! The table of known nodes: merges what is heard and claimed about each, and numbers the changes so that gossip
+//! can send what is new.
+
 use super::rendezvous::WatchAssignments;
 use crate::kernel::component::LocalNode;
 use crate::kernel::ids::*;
@@ -7,30 +10,49 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
+/// A node that was silent for this long counts as quiet, that is not live.
 pub const QUIET_AFTER: Span = Span::ms(1500);
+/// A quiet node is forgotten after this silence.
 pub const FORGET_AFTER: Span = Span::ms(60_000);
+/// How much newer a claim that a node is live must be than what is known here, and how much older a claim that it
+/// is quiet may be.
 pub const CLAIM_TOLERANCE: Span = Span::ms(1000);
+/// How long a node must be quiet before it is published as quiet.
 pub const QUIET_SETTLE_DELAY: Span = Span::ms(150);
 
+/// What is known of another node.
 pub struct KnownNode {
+    /// Its identity and addresses.
     pub who: Member,
+    /// The time of the newest evidence of it.
     pub heard_at: Time,
+    /// Whether it counts as live.
     pub is_live: bool,
+    /// When `is_live` last changed.
     live_changed_at: Time,
     seq: u64,
 }
 
+/// The nodes known to this node, which itself has no row.
 #[derive(Default)]
 pub struct Table {
+    /// The other nodes.
     pub rows: BTreeMap<NodeId, KnownNode>,
+    /// The node at each address.
     by_address: BTreeMap<SocketAddr, NodeId>,
+    /// The node changed by each change number; each node has only its latest number.
     change_order: BTreeMap<u64, NodeId>,
+    /// The number of the latest change of this node itself.
     own_seq: u64,
+    /// The number of the last change.
     pub seq: u64,
+    /// A digest of this and all live nodes; equal on two nodes that know the same ones as live.
     pub digest: u64,
+    /// Who watches whom among the known nodes.
     pub watch: WatchAssignments,
+    /// Whether something changed since the members were last published.
     pub is_dirty: bool,
-    /// When the next node that fell quiet has been so for long enough to be shown so.
+    /// When the next quiet node is to be published as quiet.
     pub next_settles_at: Option<Time>,
 }
 
@@ -43,12 +65,14 @@
 }
 
 impl Table {
+    /// Adds this node itself to the digest and the watch assignments.
     pub fn start(&mut self, me: &LocalNode) {
         self.digest = row_digest(&me.member());
         self.watch.add_watcher(me.node);
         self.watch.add_watched(me.node);
     }
 
+    /// Gives a node the next change number, so that gossip sends its row again.
     fn record_change(&mut self, node: NodeId) {
         self.seq += 1;
         let old = match self.rows.get_mut(&node) {
@@ -59,6 +83,7 @@
         self.change_order.insert(self.seq, node);
     }
 
+    /// Marks a node as live or quiet.
     fn set_live(&mut self, node: NodeId, live: bool, now: Time) {
         let Some(k) = self.rows.get_mut(&node) else { return };
         if k.is_live == live {
@@ -75,6 +100,7 @@
         self.record_change(node);
     }
 
+    /// Removes a node.
     pub fn drop(&mut self, node: NodeId) {
         self.set_live(node, false, Time(0));
         self.watch.remove_watched(node);
@@ -87,6 +113,7 @@
         self.is_dirty = true;
     }
 
+    /// Records that a message came from a node.
     pub fn mark_heard(&mut self, node: NodeId, now: Time) {
         if let Some(k) = self.rows.get_mut(&node) {
             k.heard_at = now;
@@ -94,14 +121,18 @@
         }
     }
 
+    /// Marks a node as quiet that its watcher has not heard.
     pub fn mark_quiet(&mut self, node: NodeId, now: Time) {
         self.set_live(node, false, now);
     }
 
+    /// Has gossip send this node's own row again.
     pub fn announce_self(&mut self, me: NodeId) {
         self.record_change(me);
     }
 
+    /// Merges a claim of another node. A wrong claim about this node, or one that is older than what is known here,
+    /// is answered by sending the row again. Of two nodes at one address the one heard last stays.
     pub fn merge(&mut self, c: &Claim, me: &LocalNode, now: Time) {
         let node = c.who.node;
         if node == me.node || c.who.addr == me.addr {
@@ -159,12 +190,14 @@
         }
     }
 
+    /// Removes quiet nodes that were not heard for `FORGET_AFTER`.
     pub fn drop_expired(&mut self, now: Time) {
         let gone = |k: &KnownNode| !k.is_live && now.since(k.heard_at) >= FORGET_AFTER;
         let lost: Vec<NodeId> = self.rows.iter().filter(|r| gone(r.1)).map(|r| *r.0).collect();
         lost.into_iter().for_each(|n| self.drop(n));
     }
 
+    /// What this node says about `node`; none if it does not know it.
     pub fn claim(&self, node: NodeId, me: &LocalNode, now: Time) -> Option<Claim> {
         if node == me.node {
             return Some(Claim { who: me.member(), is_live: true, age: Span(0) });
@@ -173,23 +206,26 @@
         Some(Claim { who: k.who.clone(), is_live: k.is_live, age: now.since(k.heard_at) })
     }
 
+    /// At most `most` claims after change `seq`, and the change number up to which they reach.
     pub fn since(&self, seq: u64, most: usize, me: &LocalNode, now: Time) -> (Vec<Claim>, u64) {
         let rows: Vec<(&u64, &NodeId)> = self.change_order.range(seq + 1..).take(most).collect();
         let upto = if rows.len() < most { self.seq } else { rows.last().map_or(self.seq, |r| *r.0) };
         (rows.into_iter().filter_map(|r| self.claim(*r.1, me, now)).collect(), upto)
     }
 
+    /// Claims about all known nodes, this one included.
     pub fn all(&self, me: &LocalNode, now: Time) -> Vec<Claim> {
         let ids = [me.node].into_iter().chain(self.rows.keys().copied());
         ids.filter_map(|n| self.claim(n, me, now)).collect()
     }
 
-    /// When the first of the nodes that are quiet, but not shown so yet, will be.
+    /// When the first node that is quiet, but not published so yet, is to be.
     pub fn next_settled(&self, now: Time) -> Option<Time> {
         let unsettled = |k: &&KnownNode| !k.is_live && now.since(k.live_changed_at) < QUIET_SETTLE_DELAY;
         self.rows.values().filter(unsettled).map(|k| k.live_changed_at + QUIET_SETTLE_DELAY).min()
     }
 
+    /// All members with their silence, as published to the other components.
     pub fn rows_shown(&self, me: &LocalNode, now: Time) -> Vec<MemberRow> {
         let mut rows = vec![MemberRow { who: me.member(), silence: Span(0) }];
         for k in self.rows.values() {
--- a/src/query/tables.rs
+++ b/src/query/tables.rs
@@ -8,7 +8,7 @@
     let s = &views.state;
     let tree = s.config.tree();
     Some(match name {
-        "nodes" => match crate::chain::show::nodes(views) {
+        "nodes" => match crate::chain::operator_reads::nodes(views) {
             Tree::List(rows) => rows,
             _ => vec![],
         },
--- a/src/runner_list/mod.rs
+++ b/src/runner_list/mod.rs
@@ -1,4 +1,7 @@
-//! Which controller reads the platform's list of runners, and how its word that a runner is leaving gets around.
+//! Reading the platform's list of runners: which controller reads it, and how the news that a runner is leaving
+//! spreads.
+//!
+//! The list itself is requested by the daemon, and its rows reach the chain through `placement`.
 #![deny(missing_docs)]
 
 pub mod messages;
--- a/src/runner_list/reader.rs
+++ b/src/runner_list/reader.rs
@@ -1,8 +1,8 @@
-//! Sees to it that some controller reads the list of runners, and tells of the runners that it shows as leaving.
+//! Makes sure that some controller reads the list of runners, and spreads which runners it shows as leaving.
 //!
-//! At rest the holder of the placement duty alone reads. Whoever reads tells the other controllers at once. A
-//! controller that has heard of no list for its patience reads the list itself, whatever it believes of the holder
-//! and of the chain. The word that a runner is leaving needs neither the duty nor a commit.
+//! Normally only the holder of the placement duty reads the list. Whoever reads it tells the other controllers at
+//! once. A controller that has heard of no list for its own maximum age reads it itself, whatever it believes about
+//! the holder and the chain. The news that a runner is leaving needs neither the duty nor a commit.
 #![deny(missing_docs)]
 
 use super::messages::{ListRead, RunnerListing};
@@ -14,24 +14,25 @@
 use crate::msg::*;
 use std::collections::BTreeMap;
 
-/// How often a router is told of a runner that is leaving, besides gossip: once, and again with the next list.
+/// How often routers are told directly that a runner is leaving, besides gossip: once, and again with the next
+/// list.
 const MAX_ANNOUNCEMENTS: u32 = 2;
-/// Nodes silent for longer are not told.
+/// Nodes silent for this long are not told.
 const SILENT_LIMIT: Span = Span::ms(10_000);
 
-/// A controller's part in reading the list.
+/// The component of a controller that watches over the reading of the list.
 pub struct ListReader {
     timing: ListTiming,
-    /// When the newest list was asked for, as far as this node knows.
+    /// When the newest list was requested, as far as this node knows.
     newest_listing_at: Time,
-    /// When this node last asked for the list because no other did.
+    /// When this node last requested the list because no other did.
     requested_at: Time,
-    /// Runners that this node's own lists show as leaving, and how often routers were told.
+    /// The runners that the lists read by this node show as leaving, and how often routers were told.
     leaving_announced: BTreeMap<Name, u32>,
 }
 
 impl ListReader {
-    /// A reader that takes the list to be new as of `now`.
+    /// A reader that assumes that the list was read at `now`.
     pub fn new(now: Time, timing: ListTiming) -> ListReader {
         ListReader { timing, newest_listing_at: now, requested_at: now, leaving_announced: BTreeMap::new() }
     }
--- a/src/runner_list/timing.rs
+++ b/src/runner_list/timing.rs
@@ -3,12 +3,12 @@
 
 use crate::kernel::time::Span;
 
-/// Of the time in which requests have to stop, the part after which the first controller steps in.
+/// The part of the drain time after which the first controller reads the list.
 const FIRST_PART: f64 = 0.375;
-/// The part after which the last one does: half is left for the reading and for the word to get around.
+/// The part after which the last controller does: half is left to read the list and spread the news.
 const LAST_PART: f64 = 0.5;
 
-/// The limits of a list's age.
+/// The limits on the age of the list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ListTiming {
     /// How long requests may still be sent to a runner after the list shows it as leaving.
@@ -22,7 +22,7 @@
 }
 
 impl ListTiming {
-    /// The age at which the controller of place `rank` among `count` reads the list.
+    /// The age at which the controller with this `rank` among `count` reads the list.
     pub fn max_age(&self, rank: usize, count: usize) -> Span {
         let share = rank as f64 / count.max(1) as f64;
         let part = FIRST_PART + (LAST_PART - FIRST_PART) * share.min(1.0);
--- a/tests/platform_entry_size.rs
+++ b/tests/platform_entry_size.rs
@@ -47,8 +47,11 @@
         let copied = heap::end(before);
         let mut state = FleetState::default();
         state.fold(Version(1), &change);
-        let snapshot =
-            bitcode::encode(&Record::Snapshot { at: Version(1), tag: ViewNo(1), state: Box::new(state) });
+        let snapshot = bitcode::encode(&Record::Snapshot {
+            at: Version(1),
+            base_view: ViewNo(1),
+            state: Box::new(state),
+        });
         println!(
             "{routes} routes: document {} B, encoded entry {} B, snapshot {} B, in memory {} B (peak of reading {} B)",
             text.len(),
--- a/tests/platform_tenants.rs
+++ b/tests/platform_tenants.rs
@@ -1,7 +1,7 @@
 mod platform_given;
 
 use platform_given::{part, sound, whole};
-use spindledock::chain::show;
+use spindledock::chain::operator_reads;
 use spindledock::fleet::FleetConfig;
 use spindledock::fleet::tenants::{KeyDigest, QuotaLimit, Tenants};
 use spindledock::json::Tree;
@@ -115,7 +115,7 @@
     let questions = ["config", "status", "plan", "history", "runners", "nodes"].map(String::from);
     let tables = spindledock::query::tables::NAMES.map(|name| format!("query/SELECT * FROM {name}"));
     for question in questions.iter().chain(&tables) {
-        let answer = show::answer(question, &views);
+        let answer = operator_reads::answer(question, &views);
         assert_eq!(answer.status, 200, "{question}: {}", answer.body);
         assert!(
             !answer.body.contains(KEY) && !answer.body.contains(OTHER_KEY),
@@ -123,7 +123,7 @@
             answer.body
         );
     }
-    let config = show::answer("config", &views).body;
+    let config = operator_reads::answer("config", &views).body;
     assert!(config.contains("huka") && config.contains(&KeyDigest::of(KEY.as_bytes()).to_hex()), "{config}");
     assert!(!format!("{:?}", views.state.config.tenants).contains(KEY));
 }
