--- a/src/chain/reply.rs
+++ b/src/chain/reply.rs
@@ -74,7 +74,8 @@
 
 /// The answer to a change that may have been accepted so long ago that it is no longer recorded.
 pub fn outcome_unknown() -> Answer {
-    let text = "its base is older than the recorded changes, so it may have been accepted; read the current configuration";
+    let text =
+        "its base is older than any recorded change; it may have been accepted, so read the current one";
     Answer::new(503, "outcome-unknown", text, 5)
 }
 
--- a/tests/chain.rs
+++ b/tests/chain.rs
@@ -1,3 +1,6 @@
+//! The chain as a whole: losses, splits, replaced machines and restores, each followed by a change that must
+//! succeed.
+
 mod common;
 
 use common::{seeded, sound};
@@ -16,6 +19,7 @@
     w.ask(place, OperatorCall::PatchConfig { base: None, text })
 }
 
+/// Sends a change and expects it to be accepted.
 fn taken(w: &mut World, place: usize, name: &str) {
     let id = patch(w, place, name);
     assert_eq!(w.answer(id, Span::ms(20_000)), Some(200), "{name}: {:?}", w.answers.get(&id));
@@ -26,6 +30,7 @@
     node.is_some_and(|n| n.views.state.config.model(&Name::from(name)).is_some())
 }
 
+/// Cuts all links between the nodes in `some` and the others.
 fn split(w: &mut World, some: &[usize]) {
     for a in 0..w.nodes.len() {
         for b in 0..w.nodes.len() {
--- a/tests/common/adopt.rs
+++ b/tests/common/adopt.rs
@@ -1,3 +1,4 @@
+//! A test operator that sends configurations in a format of its own and checks what becomes of them.
 #![allow(dead_code)]
 
 use spindledock::fleet::FleetConfig;
@@ -15,10 +16,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// An operator's own format: a revision, then the names of routes; a part adds `+name` or drops `-name`.
-pub struct Lines;
+/// An operator format for tests: a revision, then the names of routes. A partial change adds `+name` or drops
+/// `-name`.
+pub struct LineFormat;
 
-impl OperatorProtocol for Lines {
+impl OperatorProtocol for LineFormat {
     fn read_request(&self, _: ChangeId, _: &str, _: &str, _: Option<&str>, _: &str) -> Option<ParsedCall> {
         None
     }
@@ -59,32 +61,33 @@
     }
 }
 
-/// Stands for a change that states no base.
+/// The base of a change that names no base.
 pub const NO_BASE: u64 = u64::MAX;
 
-pub struct Sent {
+pub struct SentChange {
     pub base: u64,
     pub text: String,
     pub part: bool,
-    pub ends: Vec<u16>,
+    /// The status of each answer to it.
+    pub statuses: Vec<u16>,
 }
 
-/// The operator of one world: what it sent, what it heard, and what then must hold.
-pub struct Office {
-    pub w: World,
-    pub sent: BTreeMap<ChangeId, Sent>,
+/// A test operator of one simulated fleet: sends changes, records their answers and checks the resulting history.
+pub struct OperatorClient {
+    pub world: World,
+    pub sent: BTreeMap<ChangeId, SentChange>,
 }
 
-impl Office {
-    pub fn open(plan: Deployment, seed: u64) -> Office {
-        Office::open_bearing(plan, seed, 1)
+impl OperatorClient {
+    pub fn start(plan: Deployment, seed: u64) -> OperatorClient {
+        OperatorClient::start_tolerating(plan, seed, 1)
     }
 
-    pub fn open_bearing(plan: Deployment, seed: u64, bear: usize) -> Office {
+    pub fn start_tolerating(plan: Deployment, seed: u64, tolerated: usize) -> OperatorClient {
         let mut w = World::build(plan, seed);
         for n in &mut w.nodes {
-            n.place.tolerated_failures = bear;
-            n.place.protocols.operator = Some(Arc::new(Lines));
+            n.place.tolerated_failures = tolerated;
+            n.place.protocols.operator = Some(Arc::new(LineFormat));
         }
         w.start_all();
         let core = w.controllers();
@@ -94,19 +97,19 @@
         };
         let core = w.controllers();
         assert!(w.until(Span::ms(3000), |w| core.iter().any(|n| leased(w, *n))).is_some(), "no lease");
-        Office { w, sent: BTreeMap::new() }
+        OperatorClient { world: w, sent: BTreeMap::new() }
     }
 
-    /// Sends `count` changes, each on the revision of the one before it, in any order and to any nodes.
+    /// Sends `count` changes, each based on the revision of the one before, in random order and to random nodes.
     pub fn send_shuffled(&mut self, count: u64) -> Vec<ChangeId> {
         let mut turn: Vec<u64> = (1..=count).collect();
         for n in (1..turn.len()).rev() {
-            let k = self.w.rand.below(n as u64 + 1) as usize;
+            let k = self.world.rand.below(n as u64 + 1) as usize;
             turn.swap(n, k);
         }
         let mut ids = Vec::new();
         for n in turn {
-            let place = self.w.rand.below(self.w.nodes.len() as u64) as usize;
+            let place = self.world.rand.below(self.world.nodes.len() as u64) as usize;
             ids.push(self.send(place, 2 * n, &format!("{} +n{n}", 2 * n + 2)));
         }
         ids
@@ -114,92 +117,94 @@
 
     pub fn send(&mut self, place: usize, base: u64, text: &str) -> ChangeId {
         let part = text.contains(['+', '-']);
-        let id = Lines.id(if part { "PATCH" } else { "PUT" }, Some(&base.to_string()), text);
-        let row = Sent { base, text: text.to_string(), part, ends: vec![] };
+        let id = LineFormat.id(if part { "PATCH" } else { "PUT" }, Some(&base.to_string()), text);
+        let row = SentChange { base, text: text.to_string(), part, statuses: vec![] };
         self.sent.entry(id).or_insert(row);
-        self.w.answers.remove(&id);
+        self.world.answers.remove(&id);
         let base = (base != NO_BASE).then_some(base);
         let op = OperatorCall::PlatformConfig { base, part, text: text.to_string() };
-        self.w.operate(place, Event::OperatorCall { id, op });
+        self.world.operate(place, Event::OperatorCall { id, op });
         id
     }
 
-    pub fn end(&mut self, id: ChangeId, most: Span) -> Option<u16> {
-        let got = self.w.answer(id, most);
+    pub fn wait_for_answer(&mut self, id: ChangeId, most: Span) -> Option<u16> {
+        let got = self.world.answer(id, most);
         if let (Some(status), Some(row)) = (got, self.sent.get_mut(&id)) {
-            row.ends.push(status);
+            row.statuses.push(status);
         }
         got
     }
 
-    pub fn done(&mut self, place: usize, base: u64, text: &str) -> Option<u16> {
+    pub fn send_and_wait(&mut self, place: usize, base: u64, text: &str) -> Option<u16> {
         let id = self.send(place, base, text);
-        self.end(id, Span::ms(25_000))
+        self.wait_for_answer(id, Span::ms(25_000))
     }
 
-    /// Sends the same call to node after node, as an operator does who hears nothing clear.
-    pub fn insist(&mut self, base: u64, text: &str) -> u16 {
-        for n in (0..self.w.nodes.len()).cycle().take(40) {
-            if !self.w.nodes[n].alive {
+    /// Sends the same change to one node after another until one gives a definite answer, as an operator would.
+    pub fn send_until_answered(&mut self, base: u64, text: &str) -> u16 {
+        for n in (0..self.world.nodes.len()).cycle().take(40) {
+            if !self.world.nodes[n].alive {
                 continue;
             }
             let id = self.send(n, base, text);
-            match self.end(id, Span::ms(1000)) {
+            match self.wait_for_answer(id, Span::ms(1000)) {
                 Some(status) if status < 500 => return status,
-                _ => self.w.run_for(Span::ms(200)),
+                _ => self.world.run_for(Span::ms(200)),
             }
         }
         panic!("no clear answer to {text}")
     }
 
     pub fn head(&self) -> usize {
-        let views = self.w.nodes.iter().filter(|n| n.alive).filter_map(|n| n.node.as_ref());
+        let views = self.world.nodes.iter().filter(|n| n.alive).filter_map(|n| n.node.as_ref());
         let view = views.filter_map(|n| n.views.view.clone()).max_by_key(|v| v.no).expect("a view");
         let is = |n: &spindledock::sim::nodes::SimNode| n.node.as_ref().map(|x| x.me.node) == view.head();
-        self.w.nodes.iter().position(is).expect("a head")
+        self.world.nodes.iter().position(is).expect("a head")
     }
 
-    pub fn told(&self, what: &str) -> usize {
-        let rows = self.w.record.rows.iter();
+    pub fn logged_events(&self, what: &str) -> usize {
+        let rows = self.world.record.rows.iter();
         rows.filter(|r| matches!(&r.1, Fact::Told { what: w, .. } if *w == what)).count()
     }
 
     pub fn source(&self, place: usize) -> &str {
-        self.w.nodes[place].node.as_ref().map_or("", |n| n.views.state.config.source.as_str())
+        self.world.nodes[place].node.as_ref().map_or("", |n| n.views.state.config.source.as_str())
     }
 
-    /// What each change makes, in the order of revisions, as far as it may have been taken.
-    fn taken(&self) -> (Vec<(u64, u64, FleetConfig)>, Vec<String>) {
-        let mut rows: Vec<&Sent> = self.sent.values().filter(|s| !s.refused()).collect();
+    /// The configurations in the order of their revisions, as far as their changes may have been accepted, and what
+    /// is wrong with the answers.
+    fn accepted_states(&self) -> (Vec<(u64, u64, FleetConfig)>, Vec<String>) {
+        let mut rows: Vec<&SentChange> = self.sent.values().filter(|s| !s.refused()).collect();
         rows.sort_by_key(|s| (s.base, s.text.clone()));
         let mut out = vec![(0, RoutesSlice::default().fingerprint(), FleetConfig::default())];
         let mut bad = Vec::new();
         let mut at = 0;
         loop {
-            let next: Vec<&&Sent> = rows.iter().filter(|s| s.base == at).collect();
-            let sure = next.iter().filter(|s| s.ends.contains(&200)).count();
+            let next: Vec<&&SentChange> = rows.iter().filter(|s| s.base == at).collect();
+            let sure = next.iter().filter(|s| s.statuses.contains(&200)).count();
             if sure > 1 {
                 bad.push(format!("{sure} changes on {at} were acknowledged"));
             }
-            let Some(s) = next.iter().max_by_key(|s| s.ends.contains(&200)) else { return (out, bad) };
+            let Some(s) = next.iter().max_by_key(|s| s.statuses.contains(&200)) else { return (out, bad) };
             let old = &out.last().expect("a first").2;
-            let new = Lines.read(old, &s.text, s.part).expect("it was taken, so it reads");
+            let new = LineFormat.read(old, &s.text, s.part).expect("it was taken, so it reads");
             at = new.revision;
             out.push((at, RoutesSlice::of(&new).fingerprint(), new));
         }
     }
 
-    pub fn judge(&self) {
-        let (taken, mut bad) = self.taken();
-        let all = self.sent.values().filter(|s| s.ends.contains(&200)).count();
+    /// Checks that the nodes only ever saw accepted configurations, in order, and that answers agree with them.
+    pub fn check_history(&self) {
+        let (taken, mut bad) = self.accepted_states();
+        let all = self.sent.values().filter(|s| s.statuses.contains(&200)).count();
         if all > taken.len() - 1 {
             bad.push(format!("{all} changes were acknowledged, but they make {} steps", taken.len() - 1));
         }
-        for s in self.sent.values().filter(|s| s.refused() && s.ends.contains(&200)) {
+        for s in self.sent.values().filter(|s| s.refused() && s.statuses.contains(&200)) {
             bad.push(format!("{:?} on {} was refused and acknowledged", s.text, s.base));
         }
         let mut seen: BTreeMap<usize, usize> = BTreeMap::new();
-        for (t, f) in &self.w.record.rows {
+        for (t, f) in &self.world.record.rows {
             match f {
                 Fact::Up { place } => drop(seen.remove(place)),
                 Fact::Learnt { place, scope, print, .. } if scope == "routes" => {
@@ -217,13 +222,13 @@
         assert!(bad.is_empty(), "{}", bad.join("\n"));
     }
 
-    /// Every ready node ends with `source`, and every router with its routes.
-    pub fn all_have(&mut self, source: &str) {
-        let all: Vec<usize> = (0..self.w.nodes.len()).filter(|n| self.w.nodes[*n].alive).collect();
-        let config = Lines.read(&FleetConfig::default(), source.trim_end(), false).expect("good");
+    /// Waits until every controller has `source` and every router its routes, then checks the history.
+    pub fn assert_all_have(&mut self, source: &str) {
+        let all: Vec<usize> = (0..self.world.nodes.len()).filter(|n| self.world.nodes[*n].alive).collect();
+        let config = LineFormat.read(&FleetConfig::default(), source.trim_end(), false).expect("good");
         let routes_wanted = RoutesSlice::of(&config);
-        let (core, want) = (self.w.controllers(), source.to_string());
-        let same = self.w.until(Span::ms(20_000), |w| {
+        let (core, want) = (self.world.controllers(), source.to_string());
+        let same = self.world.until(Span::ms(20_000), |w| {
             all.iter().all(|n| {
                 let now = w.local(*n);
                 let node = w.nodes[*n].node.as_ref();
@@ -233,12 +238,13 @@
             })
         });
         assert!(same.is_some(), "all have {source}; the head has {}", self.source(self.head()));
-        self.judge();
+        self.check_history();
     }
 }
 
-impl Sent {
+impl SentChange {
+    /// Whether an answer refused it for good.
     pub fn refused(&self) -> bool {
-        self.ends.iter().any(|s| (400..500).contains(s) && *s != 429 && *s != 408)
+        self.statuses.iter().any(|s| (400..500).contains(s) && *s != 429 && *s != 408)
     }
 }
--- a/tests/dark_core.rs
+++ b/tests/dark_core.rs
@@ -1,4 +1,5 @@
-//! Serving leases: how long routers go on while no controller answers, and that nobody is served by what is old.
+//! Serving leases: how long routers keep serving while no controller answers, and that no request is served by an
+//! old configuration for longer than the freshness limit after a newer one was acknowledged.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use spindledock::sim::record::Fact;
 use spindledock::standin::tally::End;
 
-const DARK: Span = Span::ms(5000);
+const OUTAGE: Span = Span::ms(5000);
 
 fn loaded(seed: u64, lease: Span) -> World {
     let mut w = World::build(vanua(), seed);
@@ -35,14 +36,14 @@
     w.record.rows.iter().filter(|r| stale(&r.1)).map(|r| r.0).collect()
 }
 
-/// Kills all controllers for `DARK` and tells for how long requests were refused, and how many.
+/// Kills all controllers for `OUTAGE`. Returns for how long requests were refused, and how many.
 fn refused_span(seed: u64, lease: Span) -> (Span, usize) {
     let mut w = loaded(seed, lease);
     w.traffic(10, 4.0, Span::ms(15_000));
     w.run_for(Span::ms(2000));
     for n in w.controllers() {
         w.kill_node(n);
-        w.at(w.now + DARK, move |w| w.start_node(n));
+        w.at(w.now + OUTAGE, move |w| w.start_node(n));
     }
     w.run_for(Span::ms(60_000));
     sound(&w);
@@ -62,8 +63,8 @@
     });
 }
 
-/// A router is cut off from all while it holds a lease; then `hurt` befalls the core, and a route is dropped.
-fn cut_off_router(seed: u64, hurt: impl Fn(&mut World)) -> World {
+/// Cuts one router off from all other nodes while it holds a lease, then applies `damage_core` and drops a route.
+fn cut_off_router(seed: u64, damage_core: impl Fn(&mut World)) -> World {
     let mut w = loaded(seed, SERVING_LEASE);
     w.traffic(10, 4.0, Span::ms(25_000));
     w.run_for(Span::ms(2000 + 37 * seed));
@@ -73,7 +74,7 @@
         w.cuts.insert((alone, other));
         w.cuts.insert((other, alone));
     }
-    hurt(&mut w);
+    damage_core(&mut w);
     drop_only(&mut w);
     w.run_for(Span::ms(12_000));
     w.cuts.clear();
@@ -81,7 +82,7 @@
     w
 }
 
-fn judged(w: &World) {
+fn check_dropped_route(w: &World) {
     let dropped =
         w.record.rows.iter().any(|r| matches!(&r.1, Fact::Ended { code, .. } if code == "unknown-model"));
     assert!(dropped, "the drop must have been in force");
@@ -92,7 +93,7 @@
 fn given_a_router_cut_off_with_a_lease_when_a_route_is_dropped_then_the_acknowledgement_waits_for_it() {
     seeded(1..7, |seed| {
         let w = cut_off_router(seed, |_| {});
-        judged(&w);
+        check_dropped_route(&w);
         let most = SERVING_LEASE + Span::ms(1000);
         let asked = w.record.rows.iter().rev().find(|r| matches!(r.1, Fact::Asked { .. })).expect("asked");
         let Fact::Asked { id, .. } = asked.1 else { return };
@@ -115,7 +116,7 @@
             w.kill_node(tail);
             w.run_for(Span::ms(1200));
         });
-        judged(&w);
+        check_dropped_route(&w);
     });
 }
 
@@ -129,7 +130,7 @@
             }
             w.run_for(Span::ms(300));
         });
-        judged(&w);
+        check_dropped_route(&w);
     });
 }
 
--- a/tests/departure.rs
+++ b/tests/departure.rs
@@ -1,4 +1,4 @@
-//! Controllers that are told to stop leave only after what they hold stands elsewhere.
+//! A controller that is told to stop leaves the chain only once the others hold what it holds.
 
 mod common;
 
@@ -9,10 +9,10 @@
 
 const SIZES: [(usize, usize); 4] = [(3, 1), (4, 1), (5, 2), (6, 2)];
 const CHANGED: Span = Span::ms(4000);
-/// A new tail acknowledges only after the leases have run out that the old one may have given to routers.
+/// A new tail acknowledges only after the serving leases that the old one may have granted have expired.
 const NEW_TAIL: Span = Span::ms(3500);
 
-/// Stops `place` and tells how long it took to end.
+/// Stops `place` and returns how long the process took to exit.
 fn stop(w: &mut World, place: usize) -> Span {
     w.stop_node(place, GRACE);
     let ended = w.until(GRACE + Span::ms(1000), |w| !w.nodes[place].alive);
@@ -22,9 +22,9 @@
 #[test]
 fn given_a_whole_core_when_any_member_is_stopped_then_it_leaves_in_order_and_soon() {
     seeded(1..4, |seed| {
-        for (core, bear) in SIZES {
+        for (core, tolerated) in SIZES {
             for spot in 0..core {
-                let mut w = settled_core(core, bear, seed);
+                let mut w = settled_core(core, tolerated, seed);
                 taken(&mut w, 0, "kept", CHANGED);
                 let gone = member_at(&w, spot);
                 let (id, rest) = (ident(&w, gone).expect("alive"), (gone + 1) % core);
@@ -81,9 +81,9 @@
 #[test]
 fn given_a_vote_passed_on_by_one_that_left_when_another_is_lost_at_once_then_changes_go_on() {
     seeded(1..4, |seed| {
-        for (core, bear, more) in [(4, 1, 1), (6, 2, 2)] {
+        for (core, tolerated, more) in [(4, 1, 1), (6, 2, 2)] {
             for spot in 0..core {
-                let mut w = settled_core(core, bear, seed);
+                let mut w = settled_core(core, tolerated, seed);
                 taken(&mut w, 0, "kept", CHANGED);
                 let spots: Vec<usize> = (0..core).map(|k| member_at(&w, (k + spot) % core)).collect();
                 stop(&mut w, spots[0]);
@@ -102,8 +102,8 @@
 #[test]
 fn given_a_successor_started_first_when_the_old_one_is_stopped_then_its_vote_and_place_are_taken() {
     seeded(1..7, |seed| {
-        for (core, bear) in SIZES {
-            let mut w = settled_core(core, bear, seed);
+        for (core, tolerated) in SIZES {
+            let mut w = settled_core(core, tolerated, seed);
             taken(&mut w, 0, "kept", CHANGED);
             let old = member_at(&w, seed as usize % core);
             let new = add_controller(&mut w, old);
@@ -128,8 +128,8 @@
 #[test]
 fn given_all_members_stopped_at_once_when_started_again_then_nothing_is_lost() {
     seeded(1..4, |seed| {
-        for (core, bear) in SIZES {
-            let mut w = settled_core(core, bear, seed);
+        for (core, tolerated) in SIZES {
+            let mut w = settled_core(core, tolerated, seed);
             taken(&mut w, 0, "kept", CHANGED);
             let all = w.controllers();
             for n in &all {
@@ -152,8 +152,8 @@
 #[test]
 fn given_members_stopped_and_started_in_turn_when_all_were_then_no_change_was_refused_or_lost() {
     seeded(1..4, |seed| {
-        for (core, bear) in SIZES {
-            let mut w = settled_core(core, bear, seed);
+        for (core, tolerated) in SIZES {
+            let mut w = settled_core(core, tolerated, seed);
             for n in w.controllers() {
                 let name = format!("during-{n}");
                 w.stop_node(n, GRACE);
--- a/tests/found.rs
+++ b/tests/found.rs
@@ -1,3 +1,5 @@
+//! Founding a fleet, once and only once, and finding the other controllers through the seeds.
+
 mod common;
 
 use common::*;
@@ -9,7 +11,7 @@
 use spindledock::sim::nodes::SimNode;
 use std::net::SocketAddr;
 
-const LONG: Span = Span::ms(15_000);
+const LONG_LIMIT: Span = Span::ms(15_000);
 
 fn with_core(core: usize) -> Deployment {
     Deployment { core, routers: 2, ..vanua() }
@@ -24,10 +26,10 @@
 #[test]
 fn given_shared_seeds_own_among_them_when_started_apart_then_one_fleet_is_founded_in_time() {
     seeded(1..9, |seed| {
-        for (core, bear, voters) in [(1, 0, 1), (3, 1, 3), (4, 1, 3), (5, 1, 3), (5, 2, 5), (6, 2, 5)] {
-            let mut w = bearing(with_core(core), seed, 3.min(core), bear);
+        for (core, tolerated, voters) in [(1, 0, 1), (3, 1, 3), (4, 1, 3), (5, 1, 3), (5, 2, 5), (6, 2, 5)] {
+            let mut w = bearing(with_core(core), seed, 3.min(core), tolerated);
             settle(&mut w);
-            println!("{core} bear {bear}: {}", w.now.0 / 1000);
+            println!("{core} tolerating {tolerated}: {}", w.now.0 / 1000);
             assert!(w.now.0 < 10_000_000, "{core}: {}", w.now.0);
             one_fleet(&w);
             let v = view(&w, 0).expect("a view");
@@ -120,7 +122,7 @@
             settle(&mut w);
             let core = w.controllers();
             let lost = core[(seed % core.len() as u64) as usize];
-            taken(&mut w, core[0], "old", LONG);
+            taken(&mut w, core[0], "old", LONG_LIMIT);
             w.kill_node(lost);
             w.nodes[lost].retired = true;
             w.run_for(Span::ms(2000));
@@ -133,7 +135,7 @@
             w.nodes.push(node);
             let new = w.nodes.len() - 1;
             w.start_node(new);
-            let back = w.until(LONG, |w| w.nodes[new].ready);
+            let back = w.until(LONG_LIMIT, |w| w.nodes[new].ready);
             println!("joined after {back:?}");
             assert!(back.is_some_and(|s| s < Span::ms(4000)), "{:?}", w.parts(new));
             let gone = ident(&w, lost);
@@ -155,7 +157,7 @@
         for off in [300, 900, 4000] {
             let mut w = bearing(quebec(), seed, 3, 1);
             settle(&mut w);
-            taken(&mut w, 0, "kept", LONG);
+            taken(&mut w, 0, "kept", LONG_LIMIT);
             let all: Vec<usize> = (0..w.nodes.len()).collect();
             for n in &all {
                 w.kill_node(*n);
@@ -164,10 +166,10 @@
             w.run_for(Span::ms(off));
             start_apart(&mut w, &all);
             let core = w.controllers();
-            let up = w.until(LONG, |w| core.iter().all(|n| w.nodes[*n].alive && w.nodes[*n].ready));
+            let up = w.until(LONG_LIMIT, |w| core.iter().all(|n| w.nodes[*n].alive && w.nodes[*n].ready));
             assert!(up.is_some_and(|s| s < Span::ms(2500)), "{up:?}");
             let routers = w.routers();
-            let fresh = w.until(LONG, |w| {
+            let fresh = w.until(LONG_LIMIT, |w| {
                 routers.iter().all(|r| w.nodes[*r].table.fresh_routes(w.local(*r)).is_some())
             });
             println!("core {up:?} routers {fresh:?}");
--- a/tests/full_and_wiped.rs
+++ b/tests/full_and_wiped.rs
@@ -1,5 +1,5 @@
-//! One member's disk is full while another's is wiped: what is left has no majority that can sync a vote, and
-//! still answers reads.
+//! One member's disk is full while another member comes back with an empty disk. No majority of the voters can sync
+//! a vote then, but reads and requests must still be served.
 
 mod common;
 
@@ -15,7 +15,7 @@
 const WARM: Span = Span::ms(4000);
 const FULL_FOR: Span = Span::ms(6000);
 const AFTERWARDS: Span = Span::ms(6000);
-/// In a hundred, while the tail is there.
+/// Percent of the calls, while the tail is up.
 const LEAST_SERVED: u64 = 90;
 
 /// The tail of the newest view.
@@ -24,8 +24,8 @@
     views.max_by_key(|v| v.no).and_then(|v| v.tail())
 }
 
-/// The share of calls, in a hundred, that was served while `full` had no room and `wiped` came back empty, and
-/// whether that one was the tail: without it nobody may answer before a new view is agreed on.
+/// The percentage of calls served while `full` had no room and `wiped` came back empty, and whether that one was
+/// the tail: without the tail nobody may answer before a new view is decided.
 fn served(seed: u64, full: usize, wiped: usize) -> (u64, bool) {
     let mut w = World::loaded_boot(vanua(), seed, 10);
     let place = |w: &World, spot: usize| {
@@ -57,7 +57,7 @@
     (whole_between(&w, began, span) * 100 / all.max(1), was_tail)
 }
 
-/// The shares served, in a hundred, of all cases in which the wiped member was not the tail.
+/// The percentages served in all cases in which the wiped member was not the tail.
 fn shares_with_the_tail_left() -> &'static Vec<u64> {
     static SHARES: OnceLock<Vec<u64>> = OnceLock::new();
     SHARES.get_or_init(|| {
@@ -79,14 +79,14 @@
     shares.iter().filter(|share| **share >= LEAST_SERVED).count()
 }
 
-/// With nothing of this guarded, none of the cases is served so.
+/// Without the guards under test none of the cases reaches this share.
 #[test]
 fn given_a_full_disk_when_another_member_than_the_tail_is_wiped_then_calls_are_served_in_most_cases() {
     let shares = shares_with_the_tail_left();
     assert!(!shares.is_empty() && well_served(shares) * 4 >= shares.len() * 3, "{shares:?}");
 }
 
-/// A view change that was under way when the member was wiped stays half made until there is room.
+/// A view change under way when the member was wiped cannot be finished until there is room again.
 #[test]
 fn given_a_full_disk_when_another_member_than_the_tail_is_wiped_then_calls_are_served_in_each_case() {
     let shares = shares_with_the_tail_left();
--- a/tests/lead.rs
+++ b/tests/lead.rs
@@ -1,3 +1,6 @@
+//! A restarted head must not decide on a partial change before it has applied all that was committed before: the
+//! change would be merged into an old configuration and drop the rest.
+
 mod common;
 
 use common::{seeded, sound};
--- a/tests/lease_return.rs
+++ b/tests/lease_return.rs
@@ -1,4 +1,5 @@
-//! The tail's lease that is returned before it has run out: a voter stops waiting for it, and for no other.
+//! The tail returns its lease before it expires: a voter then stops waiting for that lease, but for no later one,
+//! and the tail ignores grants of the returned lease that arrive late.
 
 use spindledock::chain::core::Chain;
 use spindledock::chain::lease::LEASE_HOLD;
@@ -21,7 +22,7 @@
     View { no: ViewNo(1), chain: vec![HEAD, MIDDLE, TAIL], voters: vec![HEAD, MIDDLE, TAIL] }
 }
 
-/// The view that leaves the tail out.
+/// The view without the tail.
 fn next_view() -> View {
     View { no: ViewNo(2), chain: vec![HEAD, MIDDLE], ..first_view() }
 }
@@ -56,19 +57,19 @@
     member
 }
 
-fn hear(member: &mut Node, now: Time, from: NodeId, msg: ChainMsg) -> Vec<Effect> {
+fn deliver(member: &mut Node, now: Time, from: NodeId, msg: ChainMsg) -> Vec<Effect> {
     member.feed(now, Event::Message { from, fleet: FLEET, msg: Msg::Chain(msg) })
 }
 
 fn grants(effects: &[Effect]) -> bool {
-    says(effects, |msg| matches!(msg, ChainMsg::LeaseGrant { .. }))
+    sends(effects, |msg| matches!(msg, ChainMsg::LeaseGrant { .. }))
 }
 
 fn accepts(effects: &[Effect]) -> bool {
-    says(effects, |msg| matches!(msg, ChainMsg::Accepted { .. }))
+    sends(effects, |msg| matches!(msg, ChainMsg::Accepted { .. }))
 }
 
-fn says(effects: &[Effect], wanted: impl Fn(&ChainMsg) -> bool) -> bool {
+fn sends(effects: &[Effect], wanted: impl Fn(&ChainMsg) -> bool) -> bool {
     effects.iter().any(|e| matches!(e, Effect::Send { msg: Msg::Chain(msg), .. } if wanted(msg)))
 }
 
@@ -84,27 +85,27 @@
     ChainMsg::Accept { ballot: BALLOT, view: next_view() }
 }
 
-/// A voter that has granted what the tail asked for at `sent`, and waits with the view that leaves the tail out.
+/// A voter that granted the lease requested at `sent`, and has deferred the view without the tail.
 fn waiting_voter(sent: Time) -> Node {
     let mut voter = member(MIDDLE);
-    assert!(grants(&hear(&mut voter, NOW, TAIL, request(sent))));
-    assert!(!accepts(&hear(&mut voter, NOW, HEAD, accept())), "the lease may still be in use");
+    assert!(grants(&deliver(&mut voter, NOW, TAIL, request(sent))));
+    assert!(!accepts(&deliver(&mut voter, NOW, HEAD, accept())), "the lease may still be in use");
     voter
 }
 
 #[test]
 fn given_a_view_that_waits_for_a_lease_when_the_lease_is_returned_then_the_view_is_accepted_at_once() {
     let mut voter = waiting_voter(Time(500));
-    assert!(accepts(&hear(&mut voter, NOW + Span::ms(1), TAIL, returned(Time(500)))));
+    assert!(accepts(&deliver(&mut voter, NOW + Span::ms(1), TAIL, returned(Time(500)))));
 }
 
 #[test]
 fn given_a_view_that_waits_for_a_lease_when_an_older_lease_is_returned_late_then_the_newer_one_is_waited_for()
 {
     let mut voter = waiting_voter(Time(700));
-    assert!(!accepts(&hear(&mut voter, NOW + Span::ms(1), TAIL, returned(Time(500)))));
+    assert!(!accepts(&deliver(&mut voter, NOW + Span::ms(1), TAIL, returned(Time(500)))));
     assert!(
-        !accepts(&hear(&mut voter, NOW + Span::ms(2), HEAD, returned(Time(700)))),
+        !accepts(&deliver(&mut voter, NOW + Span::ms(2), HEAD, returned(Time(700)))),
         "it is not the head's"
     );
     let still = NOW + Span(LEASE_HOLD.0 - 1);
@@ -112,13 +113,13 @@
     assert!(accepts(&voter.feed(NOW + LEASE_HOLD, Event::Tick)));
 }
 
-/// The tail with a lease, and when it asked for it.
+/// A tail with a lease, and when it requested it.
 fn leased_tail() -> (Node, Time) {
     let mut tail = member(TAIL);
     for voter in [HEAD, MIDDLE] {
         let beat =
             ChainMsg::Heartbeat { view: ViewNo(1), has_room: true, is_impaired: false, is_leaving: false };
-        hear(&mut tail, NOW, voter, beat);
+        deliver(&mut tail, NOW, voter, beat);
     }
     tail.feed(NOW, Event::Tick);
     assert_eq!(tail.views.role.lease_until, Time(0));
@@ -129,7 +130,7 @@
 
 fn grant(tail: &mut Node, sent: Time) {
     for voter in [HEAD, MIDDLE] {
-        hear(tail, NOW + Span::ms(5), voter, ChainMsg::LeaseGrant { view: ViewNo(1), sent });
+        deliver(tail, NOW + Span::ms(5), voter, ChainMsg::LeaseGrant { view: ViewNo(1), sent });
     }
 }
 
@@ -141,8 +142,8 @@
 fn given_a_tail_without_room_when_it_is_to_be_left_out_then_it_returns_its_lease_and_uses_no_late_grant() {
     let (mut tail, asked) = leased_tail();
     tail.free_disk_bytes = 0;
-    let effects = hear(&mut tail, NOW + Span::ms(10), HEAD, prepare());
-    assert!(says(&effects, |msg| *msg == returned(asked)), "{effects:?}");
+    let effects = deliver(&mut tail, NOW + Span::ms(10), HEAD, prepare());
+    assert!(sends(&effects, |msg| *msg == returned(asked)), "{effects:?}");
     assert_eq!(tail.views.role.lease_until, Time(0));
     grant(&mut tail, asked);
     assert_eq!(
@@ -155,7 +156,7 @@
 #[test]
 fn given_a_tail_that_can_write_when_another_would_leave_it_out_then_it_keeps_its_lease() {
     let (mut tail, _) = leased_tail();
-    let effects = hear(&mut tail, NOW + Span::ms(10), HEAD, prepare());
-    assert!(!says(&effects, |msg| matches!(msg, ChainMsg::LeaseReturned { .. })));
+    let effects = deliver(&mut tail, NOW + Span::ms(10), HEAD, prepare());
+    assert!(!sends(&effects, |msg| matches!(msg, ChainMsg::LeaseReturned { .. })));
     assert!(tail.views.role.lease_until > NOW);
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,3 +1,6 @@
+//! Requests to a runner stop in time once it says itself that it is leaving, or the platform tells a single router
+//! so.
+
 mod common;
 
 use common::{seeded, sound};
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership alone, as a state machine: what it answers to one letter after another.
+//! The membership component alone, as a state machine: its effects after each message.
 
 use spindledock::kernel::component::LocalNode;
 use spindledock::kernel::ids::*;
@@ -47,7 +47,7 @@
     node
 }
 
-fn letter(node: &mut Node, now: Time, from: NodeId, msg: Msg) -> Vec<Effect> {
+fn deliver(node: &mut Node, now: Time, from: NodeId, msg: Msg) -> Vec<Effect> {
     node.feed(now, Event::Message { from, fleet: FleetId(0), msg })
 }
 
@@ -56,7 +56,7 @@
     Msg::Ping(Box::new(Gossip { digest, rows: who.iter().map(claim).collect(), ..Gossip::default() }))
 }
 
-fn asked_for_all(effects: &[Effect]) -> Vec<NodeId> {
+fn full_exchange_requests(effects: &[Effect]) -> Vec<NodeId> {
     let asked = |effect: &Effect| match effect {
         Effect::Send { to, msg: Msg::GossipRequest } => Some(*to),
         _ => None,
@@ -76,43 +76,48 @@
 #[test]
 fn given_a_partner_without_an_address_when_its_digest_differs_then_one_that_can_be_reached_is_asked() {
     let mut node = router(BEGIN);
-    letter(&mut node, BEGIN, KNOWN, ping(&[KNOWN], OTHER_DIGEST));
-    letter(&mut node, BEGIN, STRANGER, ping(&[], OTHER_DIGEST));
+    deliver(&mut node, BEGIN, KNOWN, ping(&[KNOWN], OTHER_DIGEST));
+    deliver(&mut node, BEGIN, STRANGER, ping(&[], OTHER_DIGEST));
     let mut asked = vec![];
     for round in 1..10 {
         let now = BEGIN + Span(PING_INTERVAL.0 * round);
-        asked.extend(asked_for_all(&letter(&mut node, now, STRANGER, ping(&[], OTHER_DIGEST))));
-        asked.extend(asked_for_all(&letter(&mut node, now + Span::ms(1), KNOWN, ping(&[], OTHER_DIGEST))));
+        asked.extend(full_exchange_requests(&deliver(&mut node, now, STRANGER, ping(&[], OTHER_DIGEST))));
+        asked.extend(full_exchange_requests(&deliver(
+            &mut node,
+            now + Span::ms(1),
+            KNOWN,
+            ping(&[], OTHER_DIGEST),
+        )));
     }
-    assert!(!asked.contains(&STRANGER), "a letter to a node without an address reaches nobody: {asked:?}");
+    assert!(!asked.contains(&STRANGER), "a message to a node without an address reaches nobody: {asked:?}");
     assert!(asked.contains(&KNOWN), "the one that can be reached is asked");
 }
 
 #[test]
-fn given_a_partner_that_does_not_answer_when_it_is_pinged_then_each_letter_says_who_sends_it() {
+fn given_a_partner_that_does_not_answer_when_it_is_pinged_then_each_message_says_who_sends_it() {
     let mut node = router(BEGIN);
-    let first = letter(&mut node, BEGIN, KNOWN, ping(&[KNOWN], OTHER_DIGEST));
+    let first = deliver(&mut node, BEGIN, KNOWN, ping(&[KNOWN], OTHER_DIGEST));
     assert!(names_itself(&first, KNOWN).is_some(), "a ping is answered");
-    let mut said = vec![];
+    let mut names_sender = vec![];
     for round in 1..=20 {
         let now = BEGIN + SUSPECT_AFTER + Span(PING_INTERVAL.0 * round);
-        said.extend(names_itself(&node.feed(now, Event::Tick), KNOWN));
+        names_sender.extend(names_itself(&node.feed(now, Event::Tick), KNOWN));
     }
-    assert!(said.len() > 2, "it is pinged on: {said:?}");
-    assert!(said.iter().all(|named| *named), "and told each time who pings: {said:?}");
+    assert!(names_sender.len() > 2, "it is pinged on: {names_sender:?}");
+    assert!(names_sender.iter().all(|named| *named), "and told each time who pings: {names_sender:?}");
 }
 
 #[test]
-fn given_a_partner_that_answers_when_nothing_changes_then_letters_stay_short() {
+fn given_a_partner_that_answers_when_nothing_changes_then_messages_stay_short() {
     let mut node = router(BEGIN);
-    letter(&mut node, BEGIN, KNOWN, ping(&[KNOWN], OTHER_DIGEST));
-    let mut said = vec![];
+    deliver(&mut node, BEGIN, KNOWN, ping(&[KNOWN], OTHER_DIGEST));
+    let mut names_sender = vec![];
     for round in 1..=20 {
         let now = BEGIN + Span(PING_INTERVAL.0 * round);
         let digest = 0;
-        said.extend(names_itself(&node.feed(now, Event::Tick), KNOWN));
-        letter(&mut node, now + Span::ms(1), KNOWN, ping(&[], digest));
+        names_sender.extend(names_itself(&node.feed(now, Event::Tick), KNOWN));
+        deliver(&mut node, now + Span::ms(1), KNOWN, ping(&[], digest));
     }
-    assert!(said.len() > 2, "it is pinged on: {said:?}");
-    assert!(said[2..].iter().all(|named| !named), "nothing is repeated: {said:?}");
+    assert!(names_sender.len() > 2, "it is pinged on: {names_sender:?}");
+    assert!(names_sender[2..].iter().all(|named| !named), "nothing is repeated: {names_sender:?}");
 }
--- a/tests/mend.rs
+++ b/tests/mend.rs
@@ -1,3 +1,6 @@
+//! A view change after the loss of one of four controllers, also when another view change was half done at that
+//! moment.
+
 mod common;
 
 use common::{seeded, sound};
@@ -6,7 +9,7 @@
 use spindledock::sim::World;
 use spindledock::sim::record::Fact;
 
-fn told(w: &World) -> String {
+fn logged_events(w: &World) -> String {
     let rows = w
         .record
         .rows
@@ -51,7 +54,7 @@
             let view = node.and_then(|n| n.views.view.as_ref());
             view.is_some_and(|v| gone.is_some_and(|g| !v.has(g)) && v.chain.len() == 3)
         });
-        assert!(mended.is_some(), "{}", told(&w));
+        assert!(mended.is_some(), "{}", logged_events(&w));
         sound(&w);
     });
 }
--- a/tests/redirect.rs
+++ b/tests/redirect.rs
@@ -4,7 +4,7 @@
 mod adopt;
 mod common;
 
-use adopt::Office;
+use adopt::OperatorClient;
 use common::{ident, seeded};
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
@@ -16,8 +16,8 @@
 #[test]
 fn given_a_controller_cut_off_when_it_is_asked_then_it_names_another_member_and_answers_nothing_itself() {
     seeded(1..4, |seed| {
-        let mut office = Office::open(vanua(), seed);
-        let (w, lost) = (&mut office.w, 0);
+        let mut client = OperatorClient::start(vanua(), seed);
+        let (w, lost) = (&mut client.world, 0);
         let own = ident(w, lost);
         for other in 1..w.nodes.len() {
             w.cuts.insert((lost, other));
--- a/tests/report_pace.rs
+++ b/tests/report_pace.rs
@@ -5,7 +5,7 @@
 #[path = "common/duty.rs"]
 mod duty;
 
-use adopt::Office;
+use adopt::OperatorClient;
 use duty::*;
 use spindledock::fleet::config::Class;
 use spindledock::fleet::holdings::{HoldingsUpdate, UnmetDemand};
@@ -137,11 +137,11 @@
 
 #[test]
 fn given_a_change_that_leaves_the_routes_when_it_is_taken_in_then_live_requests_are_not_rehearsed() {
-    let mut office = Office::open(vanua(), 3);
-    assert_eq!(office.done(0, 0, "3 a b"), Some(200));
-    assert_eq!(office.done(0, 3, "4 a b"), Some(200));
-    let head = office.head();
-    let node = office.w.nodes[head].node.as_ref().expect("the head is up");
+    let mut client = OperatorClient::start(vanua(), 3);
+    assert_eq!(client.send_and_wait(0, 0, "3 a b"), Some(200));
+    assert_eq!(client.send_and_wait(0, 3, "4 a b"), Some(200));
+    let head = client.head();
+    let node = client.world.nodes[head].node.as_ref().expect("the head is up");
     let stages = node.views.state.outcomes.iter().flat_map(|outcome| &outcome.stages);
     let notes: Vec<&str> =
         stages.filter(|stage| stage.name == "rehearse").map(|stage| stage.note.as_str()).collect();
--- a/tests/runner_list.rs
+++ b/tests/runner_list.rs
@@ -1,3 +1,6 @@
+//! Requests to a runner stop in time once the list of runners shows it as leaving, whichever controller fails, is
+//! cut off or is slow; and the list is read no more often than needed.
+
 mod common;
 
 use common::{seeded, sound};
@@ -23,7 +26,7 @@
     place_of(w, "holder").expect("a holder of the placement duty")
 }
 
-/// Two runners are shown as leaving a moment later, and traffic goes on past the time in which it has to stop.
+/// After `wait` the list shows two runners as leaving; traffic goes on past the time by which it must stop.
 fn drain_and_judge(mut w: World, wait: Span) {
     w.run_for(wait);
     for name in ["p1", "a1"] {
--- a/tests/second_loss.rs
+++ b/tests/second_loss.rs
@@ -1,4 +1,4 @@
-//! A second loss during, or right after, the repair of the first.
+//! A second member is lost during, or right after, the repair of a first loss.
 
 mod common;
 
@@ -10,24 +10,24 @@
 use spindledock::sim::record::Fact;
 use spindledock::sim::steps::{Blow, sweep_blows};
 
-/// Members, and how many of them may be lost at once.
+/// Numbers of members, each with the number of losses that the fleet tolerates at once.
 const SIZES: [(usize, usize); 4] = [(3, 1), (4, 1), (5, 2), (6, 2)];
 const JOINED: Span = Span::ms(4000);
 const CHANGED: Span = Span::ms(4000);
 
-fn stride(dflt: usize) -> usize {
-    std::env::var("SPINDLEDOCK_STRIDE").ok().and_then(|t| t.parse().ok()).unwrap_or(dflt)
+fn stride(default: usize) -> usize {
+    std::env::var("SPINDLEDOCK_STRIDE").ok().and_then(|t| t.parse().ok()).unwrap_or(default)
 }
 
-/// A settled core with one acknowledged change.
-fn with_kept(core: usize, bear: usize, seed: u64) -> World {
-    let mut w = settled_core(core, bear, seed);
+/// A settled chain with one acknowledged change.
+fn with_kept(core: usize, tolerated: usize, seed: u64) -> World {
+    let mut w = settled_core(core, tolerated, seed);
     taken(&mut w, 0, "kept", CHANGED);
     w
 }
 
-/// Every controller that runs is ready and knows what was acknowledged, and a change is taken.
-fn goes_on(w: &mut World) -> Option<String> {
+/// What is wrong, if a running controller is not ready or lacks the acknowledged change, or a new change fails.
+fn fault_of(w: &mut World) -> Option<String> {
     let alive: Vec<usize> = w.controllers().into_iter().filter(|n| w.nodes[*n].alive).collect();
     if let Some(n) = alive.iter().find(|n| !w.nodes[**n].ready || !knows(w, **n, "kept")) {
         return Some(format!("controller {n} is not ready or lacks what was acknowledged"));
@@ -37,41 +37,41 @@
     (status != Some(200)).then(|| format!("a change at the end got {status:?}"))
 }
 
-fn each_step(core: usize, bear: usize, blows: &[Blow], dflt: usize) {
+fn sweep_repair(core: usize, tolerated: usize, blows: &[Blow], default: usize) {
     for spot in [0, core / 2, core - 1] {
-        let build = move || with_kept(core, bear, 5 + spot as u64);
+        let build = move || with_kept(core, tolerated, 5 + spot as u64);
         let first = member_at(&build(), spot);
         let act = move |w: &mut World| wipe(w, first, Span::ms(400));
         let victims: Vec<usize> = (0..core).filter(|n| *n != first).collect();
-        let verdict = |w: &mut World| goes_on(w);
-        let s = sweep_blows(&build, &act, Span::ms(4000), stride(dflt), &victims, blows, &verdict);
-        println!("{core}/{bear} spot {spot}: {} steps, {} runs", s.steps, s.runs);
-        assert!(s.runs > 5 && s.bad.is_empty(), "{core}/{bear} spot {spot}: {}", s.bad.join("\n"));
+        let verdict = |w: &mut World| fault_of(w);
+        let s = sweep_blows(&build, &act, Span::ms(4000), stride(default), &victims, blows, &verdict);
+        println!("{core}/{tolerated} spot {spot}: {} steps, {} runs", s.steps, s.runs);
+        assert!(s.runs > 5 && s.bad.is_empty(), "{core}/{tolerated} spot {spot}: {}", s.bad.join("\n"));
     }
 }
 
 #[test]
 fn given_a_member_wiped_when_another_is_killed_or_stopped_at_any_step_of_the_repair_then_all_is_whole_again()
 {
-    for (core, bear) in SIZES {
-        each_step(core, bear, &[Blow::Kill, Blow::Stop, Blow::Power], 157);
+    for (core, tolerated) in SIZES {
+        sweep_repair(core, tolerated, &[Blow::Kill, Blow::Stop, Blow::Power], 157);
     }
 }
 
 #[test]
 fn given_two_losses_are_borne_when_the_second_is_for_good_at_any_step_of_the_first_repair_then_changes_go_on()
 {
-    for (core, bear) in [(5, 2), (6, 2)] {
-        each_step(core, bear, &[Blow::Wipe, Blow::Lose], 157);
+    for (core, tolerated) in [(5, 2), (6, 2)] {
+        sweep_repair(core, tolerated, &[Blow::Wipe, Blow::Lose], 157);
     }
 }
 
 #[test]
 fn given_a_new_member_that_is_ready_when_the_next_is_lost_for_good_at_once_then_changes_go_on() {
     seeded(1..3, |seed| {
-        for (core, bear) in SIZES {
+        for (core, tolerated) in SIZES {
             for spot in 0..core {
-                let mut w = with_kept(core, bear, seed);
+                let mut w = with_kept(core, tolerated, seed);
                 let first = member_at(&w, spot);
                 let second = member_at(&w, (spot + 1 + seed as usize % (core - 1)) % core);
                 wipe(&mut w, first, Span::ms(100 * seed));
@@ -91,8 +91,8 @@
 #[test]
 fn given_members_wiped_in_turn_each_when_the_one_before_is_ready_then_nothing_is_lost() {
     seeded(1..4, |seed| {
-        for (core, bear) in SIZES {
-            let mut w = with_kept(core, bear, seed);
+        for (core, tolerated) in SIZES {
+            let mut w = with_kept(core, tolerated, seed);
             let order: Vec<usize> = (0..core).map(|k| member_at(&w, (k + seed as usize) % core)).collect();
             for n in order.iter().chain(&order) {
                 wipe(&mut w, *n, Span::ms(50 * seed));
@@ -101,7 +101,7 @@
                 assert!(joined.is_some(), "{core}: {:?}", w.parts(*n));
                 println!("{core}: ready after {joined:?}");
             }
-            assert_eq!(goes_on(&mut w), None);
+            assert_eq!(fault_of(&mut w), None);
             sound(&w);
         }
     });
@@ -129,7 +129,7 @@
     });
 }
 
-/// Whether `place` would come back from a loss of power as a ready member of `view`.
+/// Whether `place` would come back from a power loss as a ready member of `view`.
 fn could_go_on(w: &World, place: usize, view: &View) -> bool {
     let head = ident(w, place) == view.head();
     let rows = w.nodes[place].disk.certain_records();
@@ -160,7 +160,7 @@
             }
         }
         assert!(judged > 500, "{judged}");
-        assert_eq!(goes_on(&mut w), None);
+        assert_eq!(fault_of(&mut w), None);
         sound(&w);
     });
 }
@@ -187,7 +187,7 @@
         w.start_node(spare);
         w.run_for(Span::ms(6000));
         println!("{before} prepares before, {} after", prepares(&w));
-        assert_eq!(goes_on(&mut w), None);
+        assert_eq!(fault_of(&mut w), None);
         sound(&w);
     });
 }
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -1,4 +1,5 @@
-//! A snapshot that comes late, and a member whose file lost what it had acknowledged.
+//! Two ways to lose entries: a delayed snapshot that is older than the log, and a member restarted from an older
+//! copy of its files, which lack entries that it has acknowledged.
 
 mod common;
 
