--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -63,7 +63,7 @@
 key-passed-on|src/gate/admission.rs|Some\(_\) => Err\(Why::KeyPassedOn\)|Some(_) => Ok(())|tenants none_begins_after_the_change
 key-not-forwarded|src/platform/caller.rs|headers.remove\(KEY_HEADER\)\?|headers.get(KEY_HEADER).cloned()?|platform_keys hears_its_tenant
 tenant-claim|src/platform/runner.rs|headers.remove\(TENANT_HEADER\);||platform_keys neither_key_nor_tenant
-key-unshown|src/chain/show.rs|state.config.shown\(\)|state.config.tree()|platform_tenants anything_of_the_fleet
+key-unshown|src/chain/operator_reads.rs|state.config.shown\(\)|state.config.tree()|platform_tenants anything_of_the_fleet
 silent-unload|src/placement/pending_orders.rs|!self.is_load && !self.is_overdue|!self.is_load|silent_unload every_model_is_served
 list-step-in|src/runner_list/reader.rs|if age >= self.timing.max_age\(0, 1\) && age >= self.max_age\(ctx\) \{|if false {|runner_list cut_off_from_the_list
 list-mark|src/runner_list/reader.rs|\.filter\(\|r\| r.leaving\)|.filter(\|_\| false)|runner_list held_up_by_slow_disks
@@ -168,6 +168,7 @@
 # Puts a copy of `file` without the guard at `target`; fails if the guard's line isn't there.
 switch_off() {
   local file=$1 target=$2
+  [ -f "$file" ] || return 1
   FROM=$3 TO=$4 perl -0pe 's/$ENV{FROM}/$ENV{TO}/g' "$file" > "$target.off" || return 1
   cmp -s "$file" "$target.off" && { rm "$target.off"; return 1; }
   mv "$target.off" "$target"
