--- a/src/placement/backlog.rs
+++ b/src/placement/backlog.rs
@@ -1,14 +1,14 @@
-//! What the holder of the placement duty has yet to do, for its log.
+//! Logs what the holder of the placement duty has yet to do.
 #![deny(missing_docs)]
 
-use super::component::Placement;
+use super::Placement;
 use crate::fleet::slice::DutySlice;
 use crate::kernel::component::Context;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 use std::collections::BTreeSet;
 
-/// How often a holder logs what it has yet to do.
+/// How often the backlog is logged.
 const LOG_INTERVAL: Span = Span::ms(1000);
 
 /// What requests wait for, and what is done about it.
@@ -20,14 +20,14 @@
     missing: usize,
     /// Of the missing, those that are adapters.
     missing_adapters: usize,
-    /// Of the missing, those for which nothing is decided.
+    /// Of the missing, those that are not being loaded.
     undecided: usize,
-    /// How long the first of the undecided has been waited for.
+    /// How long the oldest undecided name has been waited for.
     oldest: Span,
 }
 
 impl Placement {
-    /// Logs once a second what this holder has yet to do.
+    /// Logs the backlog at intervals.
     pub(super) fn log_backlog(&mut self, ctx: &mut Context) {
         let Some(slice) = self.slice.clone() else { return };
         if ctx.now.since(self.search.backlog_logged_at) < LOG_INTERVAL {
--- a/src/placement/component.rs
+++ b/src/placement/component.rs
@@ -1,136 +1,35 @@
-use super::decisions::SearchState;
-use super::holdings_push::HoldingsPublisher;
-use super::job::DecisionJob;
-use super::load_backoff::LoadBackoff;
+//! The placement component of a controller: dispatches events to the other modules and tracks whether this
+//! controller holds the placement duty.
+
+use super::Placement;
 use super::pending_orders::PendingOrders;
-use super::report_polling::Polls;
-use super::usage::Usage;
-use super::wanted_names::WantedName;
-use crate::daemon::assemble::Policy;
-use crate::distribution::TopicReader;
-use crate::distribution::reader::Topic;
-use crate::fleet::plan::{PlacementPlan, PlanStep};
-use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::slice::{DutySlice, Slice};
-use crate::fleet::state::*;
 use crate::kernel::component::{Component, Context};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
 use crate::rollout::router_reports::reports_to_all_controllers;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
+/// How long after the last proof of the duty an order may still be sent and carried out.
 pub const ORDER_VALIDITY: Span = Span::ms(1000);
+/// How long a new duty holder waits before its first order, so that no order of its predecessor is still
+/// valid.
 pub const TAKEOVER_WAIT: Span = Span::ms(4000);
+/// The age up to which a runner's report is used.
 pub const REPORT_FRESHNESS: Span = Span::ms(2500);
 
-pub struct Placement {
-    pub reader: TopicReader,
-    pub slice: Option<Arc<DutySlice>>,
-    /// The places of the runners in the slice.
-    pub(super) runner_index: BTreeMap<Name, usize>,
-    pub proven_at: Time,
-    pub reports: BTreeMap<Name, (Time, RunnerReport)>,
-    pub router_reports: BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
-    /// The sums over `tells`.
-    pub usage: Arc<Usage>,
-    /// How much was done to find decisions.
-    pub search: SearchState,
-    pub pending: PendingOrders,
-    /// Runners whose loads failed although they told of room.
-    pub load_backoff: LoadBackoff,
-    pub term: Term,
-    pub may_order_from: Time,
-    pub cached: BTreeMap<Name, BTreeSet<Name>>,
-    pub move_progress: BTreeMap<MoveId, (Phase, Time, u64)>,
-    pub move_sent_at: BTreeMap<MoveId, Time>,
-    pub plans_run_at: Time,
-    /// When runners were last searched for withdrawn names.
-    pub withdrawn_searched_at: Time,
-    pub demanded_since: BTreeMap<Name, Time>,
-    pub wanted_names: BTreeMap<Name, WantedName>,
-    pub last_used_at: BTreeMap<Name, Time>,
-    pub polls: Polls,
-    pub publisher: HoldingsPublisher,
-    pub jobs: BTreeMap<Name, DecisionJob>,
-    pub recent_decisions: VecDeque<PlacementPlan>,
-    /// Since when a runner holds a name that it was seen to get.
-    pub resident_since: BTreeMap<Name, BTreeMap<Name, Time>>,
-    pub policy: Policy,
-    pub plan_progress: BTreeMap<PlanId, super::plan_execution::StageProgress>,
-    pub claims: BTreeMap<Name, Time>,
-    pub submitted_plans: BTreeMap<PlanId, (Time, Vec<PlanStep>)>,
-    pub evacuation_planned_at: Time,
-    pub refusal_logged_at: Time,
-    pub answered_plan_request: Option<(ChangeId, Time)>,
-    pub holdings_checked_at: Time,
-    /// When the reports were last searched for what routers miss.
-    pub(super) holdings_searched_at: Time,
-    pub state_requested_at: Time,
-    /// The list of runners that the head was last sent, and when.
-    pub(super) sent_runner_list: (Vec<Runner>, Time),
-    pub holder_named_at: Time,
-    /// When the chain was last told that this holder orders.
-    pub begun_sent_at: Time,
-    pub is_stopping: bool,
-    pub has_unpolled_plain_runners: bool,
-}
-
 impl Placement {
-    pub fn new(now: Time, policy: Policy) -> Placement {
-        let mut reader = TopicReader::new(now);
-        reader.topics.insert(Scope::Duty, Topic::default());
-        Placement {
-            reader,
-            slice: None,
-            runner_index: BTreeMap::new(),
-            proven_at: Time(0),
-            reports: BTreeMap::new(),
-            router_reports: BTreeMap::new(),
-            usage: Arc::default(),
-            search: SearchState::default(),
-            pending: PendingOrders::default(),
-            load_backoff: LoadBackoff::default(),
-            term: Term(0),
-            may_order_from: Time(u64::MAX),
-            cached: BTreeMap::new(),
-            move_progress: BTreeMap::new(),
-            move_sent_at: BTreeMap::new(),
-            plans_run_at: Time(0),
-            withdrawn_searched_at: Time(0),
-            demanded_since: BTreeMap::new(),
-            wanted_names: BTreeMap::new(),
-            last_used_at: BTreeMap::new(),
-            polls: Polls::new(),
-            publisher: HoldingsPublisher::default(),
-            jobs: BTreeMap::new(),
-            recent_decisions: VecDeque::new(),
-            resident_since: BTreeMap::new(),
-            policy,
-            plan_progress: BTreeMap::new(),
-            claims: BTreeMap::new(),
-            submitted_plans: BTreeMap::new(),
-            evacuation_planned_at: Time(0),
-            refusal_logged_at: Time(0),
-            answered_plan_request: None,
-            holdings_checked_at: Time(0),
-            holdings_searched_at: Time(0),
-            state_requested_at: Time(0),
-            sent_runner_list: (vec![], Time(0)),
-            holder_named_at: Time(0),
-            begun_sent_at: Time(0),
-            is_stopping: false,
-            has_unpolled_plain_runners: false,
-        }
-    }
-
+    /// Whether orders may be sent: this controller holds the duty, has waited out its predecessor, and its
+    /// slice was confirmed within `ORDER_VALIDITY`.
     pub fn may_order(&self, now: Time) -> bool {
         !self.is_stopping
             && self.pending.store_budget.clock() >= self.may_order_from
             && now.since(self.proven_at) < ORDER_VALIDITY
     }
 
+    /// Takes in a new slice. A new term voids the orders under way and starts the wait for the predecessor's
+    /// orders to expire, unless the chain has recorded that this wait was completed.
     fn apply_state(&mut self, me: NodeId, slice: DutySlice) {
         let mine = slice.duty.as_ref().filter(|d| d.holder == me).map(|d| d.term);
         match mine {
@@ -161,6 +60,7 @@
         self.slice = Some(Arc::new(slice));
     }
 
+    /// Drops what was observed of runners under an earlier term.
     fn reset_observations(&mut self) {
         self.reports.clear();
         self.polls.clear();
--- a/src/placement/decision_plan.rs
+++ b/src/placement/decision_plan.rs
@@ -1,8 +1,10 @@
+//! Shows a small decision in the form of a placement plan, for the status output.
+
 use super::runner_choice::Choice;
 use crate::fleet::plan::*;
 use crate::kernel::ids::*;
 
-/// A small plan for one wanted name, as data.
+/// The plan of a decision for one wanted name.
 pub fn decision_plan(
     id: PlanId,
     config_version: Version,
--- a/src/placement/decision_round.rs
+++ b/src/placement/decision_round.rs
@@ -1,10 +1,10 @@
-//! One round of decisions: what is loaded where, all from one picture.
+//! One round of small decisions, made from one snapshot.
 //!
-//! Two things compete for the loads that the store of weights allows: models short of runners, of which one copy serves
-//! many requests, and names that nobody holds, of which a load serves one. While both are there they take turns, and
-//! each gets half of what a round may decide and load before the other takes what is left.
+//! Two needs compete for the loads that the store allows: models with too few replicas, where one load serves
+//! many requests, and names that no runner holds, where a load may serve a single one. While both exist they
+//! alternate, and each gets half of what a round may decide and load before the other takes what is left.
 
-use super::component::Placement;
+use super::Placement;
 use super::decision_state::DecisionState;
 use super::pending_orders::RunnerState;
 use super::runner_choice::Choice;
@@ -13,53 +13,53 @@
 use crate::kernel::ids::Name;
 use crate::kernel::time::Span;
 
-/// A round takes up to this many decisions, or
+/// A round makes up to this many decisions, or
 const DECISIONS_PER_ROUND: usize = 8;
-/// one for so many runners, so that it ends soon.
+/// one for so many runners, whichever is more, so that it ends soon.
 const RUNNERS_PER_DECISION: usize = 8;
-/// How often models are looked for that are short of runners.
+/// How often models with too few replicas are searched for.
 const REPLICA_SEARCH_INTERVAL: Span = Span::ms(100);
-/// What may be lost for a copy of a model that is short of one runner, in ms of waiting; the more it is short of, the
-/// more requests wait for each copy.
+/// What the unloads for a replica may lose, in ms of waiting, for each missing replica of its model: the more
+/// are missing, the more requests wait for each.
 const REPLICA_MAX_LOSS_MS: u64 = 1700;
-/// A model that is short of more runners than this may cost no more than one that is short of so many.
+/// The most missing replicas that raise this limit.
 const MAX_MISSING_COUNTED: u64 = 4;
-/// Of so many loads from the store one is for what nobody holds, while models are short of runners.
+/// While models lack replicas, one of so many loads from the store is for a name that no runner holds.
 const STORE_TURNS: u64 = 2;
 
-/// For what a load is meant.
+/// What a load is for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Purpose {
     /// A name that requests wait for.
     Wanted,
-    /// One more copy of a model that is short of runners.
+    /// One more replica of a model that has too few.
     Replica,
 }
 
-/// Who may take the next load that the store allows.
+/// Which purpose may take the next load that the store allows.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StoreTurn {
-    /// Wanted names and copies, each as often as it should.
+    /// Wanted names and replicas in turn.
     Alternating,
-    /// Whoever asks.
+    /// Either of them.
     Any,
 }
 
-/// What a round keeps for others.
+/// What a step of a round leaves to later steps.
 #[derive(Clone, Copy, Default)]
 struct Reserve {
     decisions: usize,
     store_loads: u64,
 }
 
-/// What a round has decided.
+/// A decision of this round.
 struct Decision {
     name: Name,
     choice: Choice,
     purpose: Purpose,
 }
 
-/// A model that is short of runners.
+/// A model with too few replicas.
 struct Shortage {
     missing: u64,
     name: Name,
@@ -69,20 +69,20 @@
 /// A round under way.
 struct Round<'a> {
     state: DecisionState<'a>,
-    /// How many decisions it may still take.
+    /// How many decisions it may still make.
     decisions_left: usize,
-    /// Loads that the store allows at this moment, less those that decisions under way have yet to order.
+    /// Loads that the store allows now, less those that jobs have yet to order.
     store_loads_left: u64,
-    /// Loads from the store that were decided, in this round and before.
+    /// How many loads from the store were decided on so far, this round's included.
     store_loads_decided: u64,
     decided: Vec<Decision>,
-    /// How many runners had been weighed, ever, when the round has weighed as many as it may.
+    /// The value of the counter of evaluated runners at which the round ends.
     evaluation_limit: u64,
 }
 
 impl Placement {
-    /// Decides what is loaded for the names that are wanted and for models short of runners. What gives way is told to
-    /// the routers once, before the first order goes out.
+    /// Decides on loads for wanted names and for models with too few replicas. Routers are told of the
+    /// unloads once, before the first order is sent.
     pub(super) fn run_round(&mut self, s: &DutySlice, ctx: &mut Context) {
         let spreads = ctx.now.since(self.search.last_replica_search) >= REPLICA_SEARCH_INTERVAL;
         if self.wanted_names.is_empty() && !spreads {
@@ -121,12 +121,13 @@
         self.run_jobs(s, ctx);
     }
 
-    /// How many runners a round may weigh: enough for all its decisions, and as often in vain.
+    /// How many runners a round may evaluate: enough for all its decisions, and as many without result.
     fn evaluation_limit(&self, runners: &[RunnerState]) -> u64 {
         let decisions = DECISIONS_PER_ROUND.max(runners.len() / RUNNERS_PER_DECISION);
         2 * (decisions * runners.len()) as u64
     }
 
+    /// Starts a job for each decision.
     fn start_jobs(&mut self, decided: Vec<Decision>, ctx: &mut Context) {
         let closes = decided.iter().any(|d| !d.choice.unloads.is_empty());
         for d in decided {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Decides for the wanted names in this order, as far as the turn and the round allow.
+    /// Decides for the wanted names in this order, as far as the store's turn and the round's limits allow.
     fn decide_wanted(&self, wanted: &[&Name], round: &mut Round, turn: StoreTurn, s: &DutySlice) {
         for name in wanted {
             if round.decisions_left == 0 || round.is_spent() {
@@ -157,7 +158,8 @@
         }
     }
 
-    /// The models that have more requests than their holders carry with ease, the shortest first.
+    /// The models with more requests than their holders can serve well, the one with most missing replicas
+    /// first.
     fn shortages(&self, state: &DecisionState, s: &DutySlice) -> Vec<Shortage> {
         let mut short = vec![];
         let used =
@@ -181,7 +183,7 @@
         Reserve { decisions: self.decisions_left / 2, store_loads: self.store_loads_left / 2 }
     }
 
-    /// Whether the round has weighed as many runners as it may.
+    /// Whether the round has evaluated as many runners as it may.
     fn is_spent(&self) -> bool {
         self.state.placement.search.evaluated.get() >= self.evaluation_limit
     }
@@ -192,7 +194,8 @@
         self.store_loads_left > 0 && (turn == StoreTurn::Any || wanted_next == (purpose == Purpose::Wanted))
     }
 
-    /// More copies of models that are short of runners, where that costs little; what is reserved is left to others.
+    /// Decides on replicas of the models that lack them, where the loss is small; what is reserved is left to
+    /// others.
     fn add_replicas(&mut self, short: &[Shortage], turn: StoreTurn, reserved: Reserve) {
         for Shortage { missing, name, service } in short {
             let decided = self.decided.iter().filter(|d| d.name == *name).count() as u64;
@@ -211,7 +214,7 @@
         }
     }
 
-    /// Notes a decision, so that the next ones count with it.
+    /// Records a decision, so that the next ones take it into account.
     fn record(&mut self, name: &Name, choice: Choice, purpose: Purpose) {
         self.decisions_left -= 1;
         if self.state.uses_store(&choice.runner, name) {
--- a/src/placement/decision_state.rs
+++ b/src/placement/decision_state.rs
@@ -1,6 +1,6 @@
-//! The picture that small decisions are made from.
+//! The snapshot from which small decisions are made, updated with each decision.
 
-use super::component::Placement;
+use super::Placement;
 use super::pending_orders::{PendingOrders, RunnerState};
 use super::replica_capacity::ReplicaCapacity;
 use super::runner_choice::{Choice, RunnerCosts};
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What decisions are made from until the next one is taken.
+/// What decisions are made from, including the decisions made so far.
 pub struct DecisionState<'a> {
     pub(super) placement: &'a Placement,
     pub(super) slice: &'a DutySlice,
@@ -23,25 +23,28 @@
     /// The names of which a load is ordered, planned or decided.
     being_loaded: BTreeSet<Name>,
     pub(super) now: Time,
+    /// Runners that may not be sent an order.
     pub(super) unavailable: BTreeSet<Name>,
-    /// Of them, those with something planned.
+    /// Of them, those that a plan, a move or a job needs.
     pub(super) reserved: BTreeSet<Name>,
-    /// How many staying runners hold a name, and will after the decisions so far.
+    /// How many staying runners hold a name, the decisions so far included.
     pub(super) holder_counts: BTreeMap<&'a Name, u64>,
-    /// The places of the staying runners that hold a name.
+    /// The indexes of the staying runners that hold a name.
     holder_indexes: BTreeMap<&'a Name, Vec<usize>>,
     /// The models that have adapters.
     pub(super) models_with_adapters: OnceCell<BTreeSet<&'a Name>>,
+    /// How many requests the holders of each model can serve.
     pub(super) replicas: OnceCell<ReplicaCapacity<'a>>,
+    /// By runner, the parts of a load's cost that don't depend on what is loaded.
     pub(super) runner_costs: Vec<OnceCell<RunnerCosts<'a>>>,
-    /// The places of the offers that may take an order.
+    /// The indexes of the runners that may be sent an order.
     pub(super) available: Vec<usize>,
     /// Of them, by model, those that load it from their own disk.
     pub(super) cached_indexes: OnceCell<BTreeMap<&'a Name, Vec<usize>>>,
 }
 
 impl Placement {
-    /// What decisions of this moment are made from.
+    /// A snapshot of this moment. `runners` are the runners with fresh reports.
     pub fn decision_state<'a>(
         &'a self,
         s: &'a DutySlice,
@@ -87,21 +90,22 @@
 }
 
 impl<'a> DecisionState<'a> {
+    /// The configuration.
     pub(super) fn config(&self) -> &'a FleetConfig {
         &self.slice.config
     }
 
-    /// The runners whose reports are known.
+    /// The runners with fresh reports.
     pub fn runners(&self) -> &'a [RunnerState] {
         self.runners
     }
 
-    /// What is under way, with the loads of plans that were not yet ordered.
+    /// The pending orders, with the loads of plans that were not ordered yet.
     pub fn pending(&self) -> &PendingOrders {
         &self.pending
     }
 
-    /// Whether a load of `name` was ordered, planned or decided when the board was made.
+    /// Whether a load of `name` was ordered, planned or decided when the snapshot was made.
     pub fn is_being_loaded(&self, name: &Name) -> bool {
         self.being_loaded.contains(name)
     }
@@ -111,27 +115,28 @@
         self.unavailable.contains(runner)
     }
 
-    /// Whether a plan, a move or a decision under way needs the runner.
+    /// Whether a plan, a move or a job needs the runner.
     pub fn is_reserved(&self, runner: &Name) -> bool {
         self.reserved.contains(runner)
     }
 
-    /// The moment of these decisions.
+    /// The time of the snapshot.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// What the holders of each model carry.
+    /// How many requests the holders of each model can serve.
     pub(super) fn replicas(&self) -> &ReplicaCapacity<'a> {
         self.replicas.get_or_init(|| ReplicaCapacity::of(self.runners, &self.usage.by_name, self.config()))
     }
 
-    /// How many more runners should hold a model, besides those `coming`.
+    /// How many more runners should hold a model that `demand` requests run or wait for, besides `coming`
+    /// loads under way.
     pub fn missing_replicas(&self, name: &Name, demand: u64, coming: u64, service: &Service) -> u64 {
         self.replicas().missing_replicas(name, demand, coming, service)
     }
 
-    /// The places of open runners that load a model from their own disk.
+    /// The indexes of the available runners that load a model from their own disk.
     pub(super) fn cached_indexes(&self, name: &Name) -> &[usize] {
         let keepers = self.cached_indexes.get_or_init(|| {
             let mut keepers: BTreeMap<&Name, Vec<usize>> = BTreeMap::new();
@@ -144,12 +149,12 @@
         keepers.get(name).map_or(&[], |indexes| indexes)
     }
 
-    /// Whether a load of `name` at this runner takes of the store's allowance.
+    /// Whether a load of `name` at this runner counts against the store's limit.
     pub fn uses_store(&self, runner: &Name, name: &Name) -> bool {
         self.placement.uses_store(self.slice, runner, name)
     }
 
-    /// Takes note of a decision: its runner is in use, and what gives way there is held by one runner less.
+    /// Records a decision: its runner is no longer available, and the names it unloads have one holder less.
     pub fn apply(&mut self, choice: &Choice) {
         self.unavailable.insert(choice.runner.clone());
         self.reserved.insert(choice.runner.clone());
@@ -169,7 +174,7 @@
         }
     }
 
-    /// The places of the staying runners that report that they hold `name`.
+    /// The indexes of the staying runners that report that they hold `name`.
     pub fn holder_indexes(&self, name: &Name) -> &[usize] {
         self.holder_indexes.get(name).map_or(&[], |indexes| indexes)
     }
@@ -180,7 +185,7 @@
         self.config().service(&self.runners[*index].runner.service)
     }
 
-    /// Whether a staying runner holds `name`.
+    /// Whether a staying runner holds `name`, the decisions so far included.
     pub fn is_held(&self, name: &Name) -> bool {
         self.holder_counts.get(name).is_some_and(|holder_counts| *holder_counts > 0)
     }
--- a/src/placement/decisions.rs
+++ b/src/placement/decisions.rs
@@ -1,6 +1,6 @@
-//! Small decisions for what requests wait for.
+//! Finds small decisions for names that requests wait for: when to look for them, and which names need one.
 
-use super::component::Placement;
+use super::Placement;
 use super::decision_state::DecisionState;
 use super::runner_choice::Choice;
 use crate::fleet::slice::DutySlice;
@@ -10,47 +10,50 @@
 use std::cell::Cell;
 use std::collections::BTreeSet;
 
-/// A name that is held is loaded once more for what waits for it only if less than this is lost, in ms of waiting.
+/// A name that is held already is loaded at one more runner for its waiting requests only if the unloads lose
+/// less than this, in ms of waiting.
 const MAX_LOSS_MS: u64 = 1000;
-/// For so long after the first want nothing is unloaded by a holder that has heard of no use yet.
+/// How long after a name was first wanted nothing is unloaded for it by a holder that no router has told of
+/// any use yet.
 const UNKNOWN_USAGE_GRACE: Span = Span::ms(400);
-/// Up to this many runners are weighed on every event, without a pause between two rounds.
+/// Up to this many runners a round of decisions runs on every event.
 const SMALL_FLEET_RUNNERS: usize = 32;
-/// The shortest time between two rounds of decisions over more runners: this long for each of them.
+/// With more runners the shortest time between two rounds is this long for each of them.
 const ROUND_INTERVAL_PER_RUNNER: Span = Span::ms(1);
-/// A name that was weighed in vain is left for so many rounds.
+/// A name for which no runner was found is skipped for so many rounds.
 const RETRY_ROUNDS: u64 = 4;
 /// The longest time between two rounds while something is wanted.
 const IDLE_ROUND_INTERVAL: Span = Span::ms(100);
 
-/// How often decisions were looked for, for the status page.
+/// Counters of the search for decisions, for the status output, and times at which its parts last ran.
 #[derive(Default)]
 pub struct SearchState {
-    /// Rounds over all that is wanted.
+    /// Rounds over all wanted names.
     pub rounds: u64,
-    /// Runners that were weighed for a wanted name.
+    /// Runners that were evaluated for a wanted name.
     pub evaluated: Cell<u64>,
+    /// When the last round began.
     last_round_at: Time,
-    /// When old wants were last looked for.
+    /// When expired wants were last removed.
     pub(super) wants_expired_at: Time,
     /// When new plans were last searched for.
     pub(super) last_proposal_at: Time,
-    /// When free room was last planned for.
+    /// When a plan for free memory was last searched for.
     pub(super) last_idle_plan_at: Time,
-    /// When models that are short of runners were last looked for.
+    /// When models short of runners were last searched for.
     pub(super) last_replica_search: Time,
-    /// How many were found then.
+    /// How many of them were found then.
     pub(super) missing_models: usize,
-    /// Loads from the store that were decided.
+    /// Loads from the store that were decided on.
     pub(super) store_loads_decided: u64,
-    /// When this holder last logged what it has yet to do.
+    /// When the backlog was last logged.
     pub(super) backlog_logged_at: Time,
-    /// Something came in since the last round.
+    /// Whether something has changed since the last round.
     pub has_news: bool,
 }
 
 impl Placement {
-    /// Carries on the decisions under way and, if a round is due, looks for new ones.
+    /// Carries on the jobs and, if a round is due, runs it.
     pub fn run_decisions(&mut self, ctx: &mut Context) {
         let Some(s) = self.slice.clone() else { return };
         if !self.may_order(ctx.now) {
@@ -66,13 +69,13 @@
         }
     }
 
-    /// Whether there are so few runners that everything that comes in is acted on at once. Otherwise it waits for
-    /// the next timed work, which acts on all of it together.
+    /// Whether there are few enough runners to react to every event at once. Otherwise the next tick handles
+    /// all events since the last one together.
     pub(super) fn reacts_at_once(&self) -> bool {
         self.reports.len() <= SMALL_FLEET_RUNNERS
     }
 
-    /// Carries on with what has just come in, if that is done at once.
+    /// Runs decisions for an event that has just come in, if the fleet is small enough.
     pub(super) fn react(&mut self, ctx: &mut Context) {
         if self.reacts_at_once() {
             self.run_decisions(ctx);
@@ -92,8 +95,9 @@
         true
     }
 
-    /// Nothing is unloaded ahead of the store's allowance, as its place would stand empty until then: without any
-    /// left only what a runner has on its own disk is loaded.
+    /// Chooses a runner for a wanted name that needs one. Nothing is unloaded before the store allows the
+    /// load, as the memory would be empty until then: without `from_store` only runners with the name on
+    /// their own disk are considered.
     pub(super) fn choose_for_wanted(
         &self,
         state: &DecisionState,
@@ -121,7 +125,7 @@
         taken
     }
 
-    /// How long a name that was weighed in vain is left, so that the others are weighed as well.
+    /// How long a name for which no runner was found is skipped, so that the others are evaluated as well.
     fn retry_delay(&self) -> Span {
         match self.reports.len() {
             few if few <= SMALL_FLEET_RUNNERS => Span(0),
@@ -139,6 +143,7 @@
         ordered.chain(decided).chain(planned).chain(moved).cloned().collect()
     }
 
+    /// Whether a runner that holds the name, and is not about to unload it, has a free slot.
     fn is_served(&self, state: &DecisionState, name: &Name, s: &DutySlice) -> bool {
         if !state.is_held(name) {
             return false;
--- a/src/placement/duty_assignment.rs
+++ b/src/placement/duty_assignment.rs
@@ -1,4 +1,7 @@
-use super::component::Placement;
+//! Assignment of the placement duty: the chain's head names a holder, a stopping holder names its successor,
+//! and the holder keeps its slice of the fleet state current.
+
+use super::Placement;
 use crate::chain::view::View;
 use crate::fleet::slice::DutySlice;
 use crate::fleet::state::*;
@@ -9,12 +12,15 @@
 use crate::msg::*;
 use std::sync::Arc;
 
+/// How often the slice is requested from the chain's tail.
 const REQUEST_INTERVAL: Span = Span::ms(200);
+/// How often a holder requests it while a plan is running.
 const ACTIVE_REQUEST_INTERVAL: Span = Span::ms(60);
 /// How often the chain is told that this holder orders, until that is recorded.
 const RESEND_DELAY: Span = Span::ms(600);
 
-/// Who of those that may holds the duty next. The ends of the chain have work enough: one of them only if no other may.
+/// The next duty holder among the nodes that `may`. The head and the tail of the chain have enough other
+/// work, so one of them is chosen only if no other node may.
 fn successor(view: &View, may: &dyn Fn(NodeId) -> bool) -> Option<NodeId> {
     let is_end = |node: NodeId| view.head() == Some(node) || view.tail() == Some(node);
     let candidates = || view.chain.iter().rev().copied().filter(|node| may(*node));
@@ -22,6 +28,7 @@
 }
 
 impl Placement {
+    /// As head, names a new holder if there is none or if it is not alive.
     pub fn appoint_holder(&mut self, ctx: &mut Context) {
         let post = ctx.views.role;
         if !post.is_head
@@ -46,9 +53,9 @@
         }
     }
 
-    /// Has the chain record that this holder has waited out its predecessor. Restarted under the same term it goes on
-    /// at once: it is the same machine under the same fence, and what its former life has under way is voided by the
-    /// counts that orders name.
+    /// Has the chain record that this holder has waited for its predecessor's orders to expire. If it
+    /// restarts under the same term it then orders at once: it is the same machine under the same fencing
+    /// term, and orders it sent before the restart are voided by the counts that orders name.
     pub fn record_begun(&mut self, s: &DutySlice, ctx: &mut Context) {
         let recorded = s.duty.as_ref().is_none_or(|duty| duty.term != self.term || duty.begun);
         if recorded || ctx.now.since(self.begun_sent_at) < RESEND_DELAY {
@@ -58,6 +65,7 @@
         self.submit_change(Change::DutyBegun { term: self.term }, ctx);
     }
 
+    /// Stops sending orders and names a successor, as this controller is about to stop.
     pub fn hand_over(&mut self, ctx: &mut Context) {
         self.is_stopping = true;
         if self.term == Term(0) {
@@ -71,6 +79,7 @@
         }
     }
 
+    /// Requests the slice from the chain's tail at intervals.
     pub fn request_state(&mut self, ctx: &mut Context) {
         let lively = self.term != Term(0)
             && self.slice.as_ref().is_some_and(|s| s.plans.iter().any(|p| p.is_running()));
--- a/src/placement/estimates.rs
+++ b/src/placement/estimates.rs
@@ -1,25 +1,39 @@
+//! Estimates how long each possible remedy for a wanted name takes.
+
 use super::free_room::{fits, free_mb, idle_names};
 use super::pending_orders::{PendingOrders, RunnerState, is_adapter};
 use crate::fleet::config::FleetConfig;
 use crate::kernel::ids::Name;
 use crate::kernel::time::Time;
 
+/// A way to get a wanted name loaded.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Remedy {
+    /// Load it where it fits.
     Load { runner: Name },
+    /// Unload idle names of a runner, of which `name` is one, and load it there.
     Unload { runner: Name, name: Name },
+    /// Move the streams of `model` from one runner to another, unload it, and load the wanted name in its
+    /// place.
     Move { from: Name, to: Name, model: Name },
 }
 
+/// A remedy and its duration.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Estimate {
+    /// The remedy.
     pub remedy: Remedy,
+    /// The estimated time until the wanted name is held, in ms.
     pub estimated_ms: u64,
 }
 
+/// The time of one round of handing streams over.
 const HANDOVER_ROUND_MS: u64 = 400;
+/// The time of an unload.
 const UNLOAD_MS: u64 = 200;
 
+/// The possible remedies for `want`, the fastest first. `wanted` tells whether requests wait for a name,
+/// `busy` whether a runner must be left alone.
 pub fn estimates(
     c: &FleetConfig,
     runners: &[RunnerState],
@@ -75,6 +89,7 @@
     rows
 }
 
+/// The moves that free memory for `want` at the runner `o`.
 #[allow(clippy::too_many_arguments)]
 fn move_estimates(
     c: &FleetConfig,
--- a/src/placement/free_room.rs
+++ b/src/placement/free_room.rs
@@ -1,22 +1,28 @@
+//! The memory and adapter places that are free at a runner, pending orders included.
+
 use super::pending_orders::{PendingOrders, RunnerState, is_adapter};
 use crate::fleet::config::FleetConfig;
 use crate::fleet::runner::RunnerReport;
 use crate::kernel::ids::Name;
 
+/// The free memory of a runner, in MB: what its report shows, plus accepted unloads, less pending loads.
 pub fn free_mb(c: &FleetConfig, o: &RunnerState, f: &PendingOrders) -> u64 {
     let r = &o.report;
     (r.room_mb + unloading_mb(c, r, f)).saturating_sub(r.used_mb).saturating_sub(f.pending_mb(r))
 }
 
+/// Whether the runner has accepted an unload of the name, or of its model if it is an adapter.
 fn is_being_unloaded(c: &FleetConfig, r: &RunnerReport, f: &PendingOrders, name: &Name) -> bool {
     f.is_unloading(r, name) || c.base_of(name).is_some_and(|model| f.is_unloading(r, model))
 }
 
+/// The memory, in MB, that accepted unloads will free.
 fn unloading_mb(c: &FleetConfig, r: &RunnerReport, f: &PendingOrders) -> u64 {
     let gone = r.holds.iter().filter(|n| is_being_unloaded(c, r, f, n));
     gone.filter_map(|n| c.min_mb(n)).sum()
 }
 
+/// How many more adapters the runner can hold, pending orders included.
 pub fn adapters_free(c: &FleetConfig, o: &RunnerState, f: &PendingOrders) -> u64 {
     let r = &o.report;
     let held = r
@@ -28,6 +34,7 @@
     r.adapter_room.saturating_sub(held).saturating_sub(f.pending_adapters(r))
 }
 
+/// Whether a load of `name` fits at the runner. An adapter also needs its model there.
 pub fn fits(c: &FleetConfig, o: &RunnerState, f: &PendingOrders, name: &Name) -> bool {
     let Some(mb) = c.weight(name) else { return false };
     if free_mb(c, o, f) < mb {
@@ -41,6 +48,7 @@
         && base.is_some_and(|m| o.report.has(&m) && !is_being_unloaded(c, &o.report, f, &m))
 }
 
+/// What the runner holds that no request runs on and that is not wanted, the smallest first.
 pub fn idle_names(c: &FleetConfig, o: &RunnerState, wanted: &dyn Fn(&Name) -> bool) -> Vec<Name> {
     let r = &o.report;
     let used = |n: &Name| r.runs_of(c.base_of(n).unwrap_or(n)) > 0;
--- a/src/placement/holdings_push.rs
+++ b/src/placement/holdings_push.rs
@@ -1,6 +1,7 @@
-//! What the holder of the placement duty tells routers of the runners' holdings.
+//! Tells routers what the runners hold: changes as they come in, all holdings at a new term or on request.
 
-use super::component::{Placement, REPORT_FRESHNESS};
+use super::Placement;
+use super::component::REPORT_FRESHNESS;
 use crate::fleet::holdings::{HoldingsUpdate, RunnerHoldings};
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
@@ -12,36 +13,46 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// How often a message is sent even if nothing changed, so that routers know the holder.
 const HEARTBEAT_INTERVAL: Span = Span::ms(500);
+/// How long changes of figures alone may wait, at least.
 const MINOR_INTERVAL: Span = Span::ms(200);
-/// The shortest time between two looks for changes in a large fleet: this long for each of its routers.
+/// The shortest time between two checks for changes in a large fleet: this long for each of its routers.
 const CHECK_INTERVAL_PER_ROUTER: Span = Span::ms(1);
-/// How much longer mere figures may wait than the rest, in gaps.
+/// How many of these intervals changes of figures alone may wait.
 const MINOR_CHECKS: u64 = 5;
-/// How many rows of whole holdings are sent in a tick.
+/// How many rows of full holdings are sent in a tick.
 const FULL_ROWS_PER_TICK: usize = 1024;
-/// How many routers of a zone take turns in passing holdings on.
+/// How many routers of a zone take turns in relaying messages.
 const RELAYS_PER_ZONE: u64 = 2;
+/// Routers that were silent for longer are not sent to.
 const ROUTER_GONE_AFTER: Span = Span::ms(10_000);
 
 /// What routers were told of the runners' holdings.
 #[derive(Default)]
 pub struct HoldingsPublisher {
+    /// By runner, the names that are about to be unloaded and that routers should send no requests for.
     pub closing: BTreeMap<Name, BTreeSet<Name>>,
+    /// The number of the last message under this term.
     seq: u64,
+    /// The holdings as last sent.
     sent: BTreeMap<Name, RunnerHoldings>,
+    /// When the last message was sent.
     sent_at: Time,
+    /// When changes of figures were last sent.
     minor_sent_at: Time,
+    /// When changes were last checked for.
     checked_at: Time,
+    /// Whether the next message contains all holdings.
     sends_full: bool,
-    /// Routers that are yet to be told all that is held.
+    /// Routers that have yet to be sent all holdings.
     awaiting_full: BTreeSet<NodeId>,
-    /// How many more rows of whole holdings this tick may send.
+    /// How many more rows of full holdings this tick may send.
     full_rows_left: usize,
 }
 
-/// The routers that pass a message on to their zones, one in each. Two of a zone take turns, so that all miss only
-/// every other message while one of them is lost, and notice it by the next.
+/// The routers that relay a message to their zones, one in each. Two of a zone take turns, so that while one
+/// of them is lost its zone misses only every other message, and notices that by the next one.
 fn relay_routers(seq: u64, ctx: &Context) -> Vec<NodeId> {
     let mut zones: BTreeMap<&Name, Vec<NodeId>> = BTreeMap::new();
     let live =
@@ -54,6 +65,7 @@
 }
 
 impl Placement {
+    /// The holdings of all runners, with pending orders applied.
     fn runner_holdings(&self, now: Time) -> BTreeMap<Name, RunnerHoldings> {
         let row = |(name, (at, r)): (&Name, &(Time, crate::fleet::runner::RunnerReport))| {
             let mut closing = self.publisher.closing.get(name).cloned().unwrap_or_default();
@@ -71,13 +83,14 @@
         self.reports.iter().map(row).collect()
     }
 
+    /// The routers that were heard of lately.
     fn live_routers(&self, ctx: &Context) -> Vec<NodeId> {
         let live =
             ctx.views.members.iter().filter(|r| r.who.role == Role::Router && r.silence < ROUTER_GONE_AFTER);
         live.map(|r| r.who.node).collect()
     }
 
-    /// Tells routers what changed, unless they were told a moment ago; a later tick then does.
+    /// Sends routers what changed, unless that was done a moment ago; a later tick does it then.
     pub fn push_changes(&mut self, ctx: &mut Context) {
         let gap = match router_count(ctx.views) {
             few if is_small_fleet(few) => Span(0),
@@ -88,11 +101,12 @@
         }
     }
 
-    /// Tells routers at once that a name is closing, before the order to unload it goes out.
+    /// Tells routers at once that a name is closing, before the order to unload it is sent.
     pub fn push_closing(&mut self, ctx: &mut Context) {
         self.push_now(Span(0), ctx);
     }
 
+    /// Sends what changed, or a heartbeat if one is due. `gap` is the interval between two checks.
     fn push_now(&mut self, gap: Span, ctx: &mut Context) {
         if self.term == Term(0) {
             return;
@@ -123,6 +137,7 @@
         }
     }
 
+    /// A message with these rows.
     fn holdings_update(
         &self,
         whole: bool,
@@ -133,7 +148,7 @@
         HoldingsUpdate { holder: ctx.me.node, term: self.term, seq: self.publisher.seq, whole, relay, rows }
     }
 
-    /// A router asks for all that is held; it is told in its turn.
+    /// A router requests all holdings; it is sent them as the tick's limit allows.
     pub fn request_full_push(&mut self, to: NodeId, ctx: &mut Context) {
         if self.term > Term(0) {
             self.publisher.awaiting_full.insert(to);
@@ -141,12 +156,13 @@
         }
     }
 
-    /// Allows again what a tick may send of whole holdings, and tells the next routers that are behind.
+    /// Renews the tick's limit, and sends all holdings to the next routers that wait for them.
     pub fn continue_full_pushes(&mut self, ctx: &mut Context) {
         self.publisher.full_rows_left = FULL_ROWS_PER_TICK;
         self.send_full_pushes(ctx);
     }
 
+    /// Sends all holdings to waiting routers, up to the tick's limit.
     fn send_full_pushes(&mut self, ctx: &mut Context) {
         let size = self.publisher.sent.len().max(1);
         if self.publisher.awaiting_full.is_empty() || self.publisher.full_rows_left == 0 {
@@ -162,6 +178,7 @@
         }
     }
 
+    /// Marks a name of a runner as about to be unloaded, or takes the mark back.
     pub fn set_closing(&mut self, runner: &Name, name: &Name, closed: bool) {
         let row = self.publisher.closing.entry(runner.clone()).or_default();
         if closed {
@@ -174,6 +191,7 @@
         }
     }
 
+    /// Starts anew, with a message of all holdings.
     pub fn reset_publisher(&mut self) {
         self.publisher = HoldingsPublisher { sends_full: true, ..HoldingsPublisher::default() };
     }
--- a/src/placement/job.rs
+++ b/src/placement/job.rs
@@ -1,7 +1,11 @@
-use super::component::Placement;
+//! Jobs: small decisions under way, at most one at each runner. A job orders its unloads and then its load,
+//! one order after another, and stops if its time is over or the runner refuses too often.
+
+mod answers;
+
+use super::Placement;
 use super::decision_plan::decision_plan;
 use super::pending_orders::is_adapter;
-use super::report_polling::CONFLICT;
 use super::runner_choice::Choice;
 use crate::fleet::plan::*;
 use crate::fleet::slice::DutySlice;
@@ -10,9 +14,13 @@
 use crate::kernel::time::{Span, Time};
 use std::collections::VecDeque;
 
+/// How long a job may take.
 const JOB_TIMEOUT: Span = Span::ms(5000);
+/// How long a job waits before it tries a refused or unsent order again; doubled with each refusal.
 const RETRY_DELAY: Span = Span::ms(20);
+/// The delay from which a further refusal ends the job.
 const GIVE_UP_DELAY: Span = Span::ms(80);
+/// How many decisions are kept for the status output.
 const DECISIONS_KEPT: usize = 64;
 
 /// A decision under way at one runner.
@@ -28,20 +36,22 @@
 }
 
 impl DecisionJob {
+    /// The names it has yet to unload or load.
     pub fn names(&self) -> impl Iterator<Item = &Name> {
         self.steps.iter().map(|s| &s.1)
     }
 
+    /// Whether it loads `name` in the end.
     pub fn loads(&self, name: &Name) -> bool {
         self.want == *name
     }
 
-    /// What is loaded in the end.
+    /// The name it loads in the end.
     pub fn want(&self) -> &Name {
         &self.want
     }
 
-    /// Whether something has yet to give way.
+    /// Whether an unload is left, or the load was preceded by one.
     pub fn awaits_unload(&self) -> bool {
         self.follows_unload || self.steps.front().is_some_and(|step| !step.0)
     }
@@ -54,7 +64,7 @@
 }
 
 impl Placement {
-    /// Takes up a decision. The routers are to be told of what gives way before its first order goes out.
+    /// Starts a decision. The caller must tell routers of the unloads before the first order is sent.
     pub fn start_job(&mut self, want: &Name, choice: Choice, why: &str, ctx: &mut Context) {
         let id = PlanId(ctx.rand.next() | 1);
         let at = self.slice.as_ref().map_or(Version(0), |s| s.config_version);
@@ -83,7 +93,7 @@
         self.jobs.insert(choice.runner, job);
     }
 
-    /// Orders what the decisions under way need next, the oldest first: they share the store's allowance.
+    /// Sends the orders that are due, for the oldest jobs first, as they share the store's limit.
     pub fn run_jobs(&mut self, s: &DutySlice, ctx: &mut Context) {
         let due = self.jobs.iter().filter(|(runner, job)| self.is_due(runner, job, ctx.now));
         let mut runners: Vec<(Time, Name)> = due.map(|(r, job)| (job.started_at, r.clone())).collect();
@@ -117,7 +127,7 @@
         }
     }
 
-    /// Whether all that is left to do is a load from the store, and there is time for it.
+    /// Whether only a load from the store is left, and there is time for it.
     fn is_waiting_for_store(&self, runner: &Name, job: &DecisionJob, s: &DutySlice, now: Time) -> bool {
         let Some((true, name)) = job.steps.front() else { return false };
         let goes_on = self.is_staying(runner) && now.since(job.started_at) <= JOB_TIMEOUT;
@@ -125,13 +135,14 @@
         goes_on && !held && self.uses_store(s, runner, name)
     }
 
-    /// Whether a decision has something to do: its next order, or its end.
+    /// Whether a job has something to do: its next order, or its end.
     fn is_due(&self, runner: &Name, job: &DecisionJob, now: Time) -> bool {
         let waits = job.pending_order.is_some_and(|order| self.pending.table.contains_key(&order))
             || now < job.next_attempt_at;
         !waits || now.since(job.started_at) > JOB_TIMEOUT || !self.is_staying(runner)
     }
 
+    /// Sends a job's next order, or returns how it ended.
     fn run_job(
         &mut self,
         runner: &Name,
@@ -178,66 +189,4 @@
         }
         Ok(job)
     }
-
-    /// An answer to an order of a job: the next step, the same again, or the end.
-    pub fn record_job_answer(&mut self, order: OrderId, status: u16, ctx: &mut Context) {
-        let Some((runner, mut job)) = self.take_job(order) else { return };
-        let Some((load, name)) = job.steps.front().cloned() else { return };
-        job.pending_order = None;
-        match status {
-            200..=299 => {
-                job.steps.pop_front();
-                job.follows_unload |= !load;
-                (job.next_attempt_at, job.retry_delay) = (ctx.now, RETRY_DELAY);
-                if load {
-                    if let Some(p) = self.recent_decisions.iter_mut().find(|p| p.id == job.id) {
-                        p.state = PlanState::Done;
-                    }
-                    self.publisher.closing.remove(&runner);
-                    return;
-                }
-            }
-            CONFLICT if !job.follows_unload && load && self.load_backoff.is_paused(&runner, ctx.now) => {
-                ctx.log_event("plan-stopped", format!("{} at {runner}: refused again", job.id));
-                self.publisher.closing.remove(&runner);
-                return;
-            }
-            CONFLICT if !job.follows_unload && job.retry_delay >= GIVE_UP_DELAY => {
-                if load {
-                    self.record_load_failure(&runner, "it refused a load again and again", ctx);
-                }
-                ctx.log_event("plan-stopped", format!("{} at {runner}: refused again and again", job.id));
-                self.publisher.closing.remove(&runner);
-                return;
-            }
-            CONFLICT | 499 => {
-                if let Some(names) = self.pending.refused_at.get_mut(&runner) {
-                    names.remove(&name);
-                }
-                job.next_attempt_at = ctx.now + job.retry_delay;
-                job.retry_delay = Span((job.retry_delay.0 * 2).min(Span::ms(160).0));
-                self.poll_by(&runner, ctx.now);
-            }
-            0 => {
-                job.pending_order = Some(order);
-                self.poll_by(&runner, ctx.now + Span::ms(50));
-            }
-            _ => {
-                ctx.log_event("plan-stopped", format!("{} at {runner}: answered {status}", job.id));
-                self.publisher.closing.remove(&runner);
-                return;
-            }
-        }
-        self.jobs.insert(runner, job);
-    }
-
-    /// Whether an order belongs to a decision under way.
-    pub fn belongs_to_job(&self, order: OrderId) -> bool {
-        self.jobs.values().any(|job| job.pending_order == Some(order))
-    }
-
-    fn take_job(&mut self, order: OrderId) -> Option<(Name, DecisionJob)> {
-        let runner = self.jobs.iter().find(|j| j.1.pending_order == Some(order))?.0.clone();
-        self.jobs.remove_entry(&runner)
-    }
 }
--- a/src/placement/layout.rs
+++ b/src/placement/layout.rs
@@ -1,4 +1,5 @@
-//! The rooms of all runners while a whole plan is laid out, ordered by what is free and by what is held.
+//! The free memory of all runners while a plan for all names is laid out, indexed by free memory and by held
+//! name.
 #![deny(missing_docs)]
 
 use super::free_room::{adapters_free, free_mb, idle_names};
@@ -9,35 +10,35 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The room of one runner while a plan is laid out.
+/// The free memory and planned changes of one runner.
 pub struct RunnerRoom {
-    /// Whose it is.
+    /// The runner.
     pub runner: Name,
     service: Name,
     free_mb: u64,
     free_adapter_places: u64,
-    /// What is unloaded to make room.
+    /// What is unloaded to free memory.
     pub unload: Vec<Name>,
     /// What is loaded, in this order.
     pub load: Vec<Name>,
 }
 
-/// A room by what is free in it; of equals the one whose runner comes first is the greatest.
+/// Runners ordered by free memory; among equals the one whose name comes first is the greatest.
 type ByFree = BTreeSet<(u64, Reverse<Name>, usize)>;
 
-/// The rooms of the runners that stay.
+/// The runners that stay.
 pub struct Layout {
     rooms: Vec<RunnerRoom>,
     index_of: BTreeMap<Name, usize>,
     by_free: BTreeMap<Name, ByFree>,
-    /// The places of the rooms that hold a name.
+    /// The indexes of the runners that hold a name, planned loads included.
     holders: BTreeMap<Name, BTreeSet<usize>>,
-    /// How many rooms were weighed.
+    /// How many runners were evaluated.
     evaluated: u64,
 }
 
 impl Layout {
-    /// What is free at the runners that stay.
+    /// The free memory of the runners that stay.
     pub fn of(picture: &PlanInput) -> Layout {
         let mut layout = Layout {
             rooms: vec![],
@@ -52,6 +53,8 @@
         layout
     }
 
+    /// Adds a runner. A busy one has nothing free. Under the greedy strategy idle models count as free
+    /// memory.
     fn add(&mut self, runner_state: &RunnerState, picture: &PlanInput) {
         let runner = runner_state.runner.instance.clone();
         let busy = picture.busy_runners.contains(&runner);
@@ -80,28 +83,29 @@
         self.rooms.push(room);
     }
 
-    /// The rooms, in the order of the fleet's runners.
+    /// The runners, in the order of the fleet's list.
     pub fn rooms(&self) -> &[RunnerRoom] {
         &self.rooms
     }
 
-    /// How many rooms were weighed for names so far.
+    /// How many runners were evaluated so far.
     pub fn evaluated(&self) -> u64 {
         self.evaluated
     }
 
-    /// Whether so much is free at a runner.
+    /// Whether a runner has `mb` MB free.
     pub fn has_free(&self, runner: &Name, mb: u64) -> bool {
         self.index_of.get(runner).is_some_and(|index| self.rooms[*index].free_mb >= mb)
     }
 
-    /// Notes that a model comes to a runner, beside what is laid out here.
+    /// Reserves memory for a model that a move brings to a runner.
     pub fn reserve(&mut self, runner: &Name, model: &Name, mb: u64) {
         let Some(index) = self.index_of.get(runner).copied() else { return };
         self.take(index, mb);
         self.holders.entry(model.clone()).or_default().insert(index);
     }
 
+    /// Reduces a runner's free memory.
     fn take(&mut self, index: usize, mb: u64) {
         let room = &mut self.rooms[index];
         let Some(by_free) = self.by_free.get_mut(&room.service) else { return };
@@ -110,12 +114,13 @@
         by_free.insert((room.free_mb, Reverse(room.runner.clone()), index));
     }
 
+    /// Whether a runner of the service holds the name or is planned to.
     fn is_placed(&self, service: &Name, name: &Name) -> bool {
         let holders = self.holders.get(name).into_iter().flatten();
         holders.into_iter().any(|index| self.rooms[*index].service == *service)
     }
 
-    /// Finds a room for a name of a service; whether it has one.
+    /// Finds a runner for a name of a service. Returns whether the name has one.
     pub fn place(&mut self, service: &Name, name: &Name, config: &FleetConfig) -> bool {
         if self.is_placed(service, name) {
             return true;
@@ -140,13 +145,14 @@
         true
     }
 
+    /// The runner of the service with most free memory, if it has `mb` MB free.
     fn freest_runner(&mut self, service: &Name, mb: u64) -> Option<usize> {
         self.evaluated += 1;
         let (free_mb, _, index) = self.by_free.get(service)?.last()?;
         (*free_mb >= mb).then_some(*index)
     }
 
-    /// A room for an adapter, at a runner that holds its model.
+    /// A runner for an adapter, which must hold the adapter's model already.
     fn runner_with_base(&mut self, service: &Name, base: &Name, mb: u64) -> Option<usize> {
         let holders = self.holders.get(base)?;
         self.evaluated += holders.len() as u64;
--- a/src/placement/load_backoff.rs
+++ b/src/placement/load_backoff.rs
@@ -1,9 +1,9 @@
-//! Runners whose loads failed although their reports told of room.
+//! Backoff for runners whose loads fail although their reports show enough free memory.
 //!
-//! A refused load takes its share of the weight store's allowance like any other, so a runner that goes on
-//! promising room it lacks would use up the allowance of all others. After a failure the runner is given no
-//! load for a time that doubles with each further failure, and its told use of memory is no longer believed
-//! where the weights of what it holds add up to more.
+//! A refused load counts against the store's limit like any other, so a runner that keeps reporting free
+//! memory it lacks would use up the limit for all others. After a failure no load is sent to the runner for a
+//! pause that doubles with each further failure, and its reported use of memory is replaced by the sum of the
+//! configured weights where that is more.
 #![deny(missing_docs)]
 
 use crate::fleet::config::FleetConfig;
@@ -12,11 +12,11 @@
 use crate::kernel::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// How long a runner gets no load after its first failure.
+/// The pause after the first failure of a runner.
 pub const FIRST_PAUSE: Span = Span::ms(2000);
-/// The longest pause between two loads that are tried at a runner whose loads fail.
+/// The longest pause between two attempts at a runner whose loads fail.
 pub const LONGEST_PAUSE: Span = Span::ms(120_000);
-/// A failure that is older is forgotten.
+/// The age at which a failure no longer counts.
 pub const FORGOTTEN_AFTER: Span = Span::ms(600_000);
 
 /// The failures of one runner.
@@ -26,14 +26,15 @@
     pause: Span,
 }
 
-/// What the holder of the placement duty has learned of runners whose loads fail.
+/// The runners whose loads have failed.
 #[derive(Clone, Default, Debug)]
 pub struct LoadBackoff {
     failures: BTreeMap<Name, Failures>,
 }
 
 impl LoadBackoff {
-    /// A load at `runner` was refused for want of room or never appeared in its reports.
+    /// A load at `runner` was refused for lack of memory or never appeared in its reports. Failures during a
+    /// pause don't count again.
     pub fn record_failure(&mut self, runner: &Name, now: Time) {
         let pause = match self.failures.get(runner) {
             Some(row) if now.since(row.last_at) < row.pause => return,
@@ -53,17 +54,17 @@
         self.failures.get(runner).is_some_and(|row| now.since(row.last_at) < row.pause)
     }
 
-    /// Whether the room that `runner` tells of has turned out wrong.
+    /// Whether the free memory that `runner` reports has turned out wrong.
     pub fn has_failures(&self, runner: &Name) -> bool {
         self.failures.contains_key(runner)
     }
 
-    /// The runners that may be sent no load now.
+    /// The runners to which no load may be sent now.
     pub fn paused(&self, now: Time) -> impl Iterator<Item = &Name> {
         self.failures.keys().filter(move |runner| self.is_paused(runner, now))
     }
 
-    /// The report with its use of memory taken from the configured weights, if its runner is doubted.
+    /// The report with its used memory raised to the configured weights, if its runner's loads have failed.
     pub fn corrected(&self, config: &FleetConfig, mut report: RunnerReport) -> RunnerReport {
         if self.has_failures(&report.instance) {
             report.used_mb = report.used_mb.max(most_used(config, &report));
@@ -72,7 +73,8 @@
     }
 }
 
-/// The most that all takes which a report shows as held or loading; the whole room if a weight is not known.
+/// The most memory, in MB, that the names held and loading by a report can take; all of the runner's memory
+/// if a weight is not known.
 pub fn most_used(config: &FleetConfig, report: &RunnerReport) -> u64 {
     let names = report.holds.iter().chain(&report.loading);
     let known: Option<u64> = names.map(|name| config.max_mb(name)).sum();
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,3 +1,17 @@
+//! Placement of models and adapters on runners.
+//!
+//! One controller at a time holds the placement duty under a term. It polls the runners for reports, collects
+//! what routers report as wanted and used, decides which names (models and adapters) are loaded where, and
+//! sends the runners orders. Three kinds of changes are made:
+//!
+//! - small decisions, one runner at a time, for names that requests wait for ([`decisions`],
+//!   [`decision_round`], [`runner_choice`], [`job`]);
+//! - plans of several stages, which the chain records before they are executed ([`proposals`],
+//!   [`plan_building`], [`plan_rehearsal`], [`plan_execution`]);
+//! - moves of running streams between two runners ([`move_planning`], [`move_execution`]).
+//!
+//! Routers are told the runners' holdings ([`holdings_push`]) and send wants back ([`placement_client`]).
+
 pub mod backlog;
 pub mod component;
 pub mod decision_plan;
@@ -28,8 +42,9 @@
 pub mod report_polling;
 pub mod runner_choice;
 pub mod runners;
+pub mod state;
 pub mod store_budget;
 pub mod usage;
 pub mod wanted_names;
 pub mod withdrawn_names;
-pub use component::Placement;
+pub use state::Placement;
--- a/src/placement/move_check.rs
+++ b/src/placement/move_check.rs
@@ -1,6 +1,10 @@
+//! Checks a move that an operator requests.
+
 use crate::fleet::state::*;
 use crate::kernel::fault::{Fault, Kind};
 
+/// Checks that the move's service, names and runners exist and fit together. Returns a usage error that names
+/// the wrong field otherwise.
 pub fn check_move(m: &MovePlan, state: &FleetState) -> Result<(), Fault> {
     let bad = |place: &str, what: String, remedy: &str| Err(Fault::new(Kind::Usage, place, what, remedy));
     let Some(s) = state.config.service(&m.service) else {
--- a/src/placement/move_execution.rs
+++ b/src/placement/move_execution.rs
@@ -1,4 +1,7 @@
-use super::component::Placement;
+//! Advances plans and moves at intervals, and executes moves phase by phase: load at the destination, wait
+//! until routers have moved the streams, unload at the source, load what is wanted there.
+
+use super::Placement;
 use crate::fleet::config::Allowance;
 use crate::fleet::slice::DutySlice;
 use crate::fleet::state::*;
@@ -9,11 +12,14 @@
 use crate::msg::Role;
 use crate::rollout::router_reports::report_freshness;
 
+/// How often plans and moves are advanced.
 const RUN_INTERVAL: Span = Span::ms(100);
 /// The shortest time between two searches for new plans: this long for each runner.
 const PROPOSAL_INTERVAL_PER_RUNNER: Span = Span::ms(2);
+/// How long the head has to record a move's change before it is sent again.
 const RESEND_DELAY: Span = Span::ms(600);
 
+/// The time and tries that a move's phase has used, and what it is allowed.
 struct StageUsage {
     ms: u64,
     tries: u64,
@@ -21,6 +27,7 @@
 }
 
 impl Placement {
+    /// Advances moves and plans, unloads withdrawn names and searches for new plans.
     pub fn run_plans_and_moves(&mut self, ctx: &mut Context) {
         if ctx.now.since(self.plans_run_at) < RUN_INTERVAL {
             return;
@@ -41,6 +48,7 @@
         }
     }
 
+    /// Has the chain record a move's next phase, with the figures of the one that ends.
     fn change_phase(&mut self, m: &MovePlan, phase: Phase, why: &str, spent: &StageUsage, ctx: &mut Context) {
         if self.move_sent_at.get(&m.id).is_some_and(|t| ctx.now.since(*t) < RESEND_DELAY) {
             return;
@@ -60,6 +68,8 @@
         self.submit_change(change, ctx);
     }
 
+    /// Advances a move: orders what its phase needs, changes to the next phase, or stops it when its
+    /// allowance is used up or a runner is gone.
     fn run_move(&mut self, m: &MovePlan, s: &DutySlice, ctx: &mut Context) {
         let row = self.move_progress.entry(m.id).or_insert((m.phase, ctx.now, 0));
         if row.0 != m.phase {
@@ -127,6 +137,7 @@
         }
     }
 
+    /// Sends an order of a move and counts it as a try.
     fn order_for_move(&mut self, m: &MovePlan, runner: &Name, name: &Name, load: bool, ctx: &mut Context) {
         let Some(s) = &self.slice else { return };
         if load && !self.fits_at(runner, name, s, ctx.now) {
@@ -139,6 +150,8 @@
         }
     }
 
+    /// Over all live routers: the streams left to move (none if a router has not reported them), the tries,
+    /// and the postponed streams.
     fn router_progress(&self, id: MoveId, ctx: &Context) -> (Option<u64>, u64, u64) {
         let live = ctx.views.members.iter().filter(|r| r.who.role == Role::Router && r.silence < QUIET_AFTER);
         let freshness = report_freshness(self.router_reports.len());
--- a/src/placement/move_planning.rs
+++ b/src/placement/move_planning.rs
@@ -1,6 +1,6 @@
-//! Moves for what is wanted and fits nowhere.
+//! Plans moves for wanted names that fit nowhere.
 
-use super::component::Placement;
+use super::Placement;
 use super::decision_state::DecisionState;
 use super::estimates::{Estimate, Remedy, estimates};
 use super::pending_orders::RunnerState;
@@ -11,11 +11,12 @@
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
 
-/// So many names are weighed at a time, those that most requests wait for first: each is weighed at every runner.
+/// How many names are evaluated at a time, those that most requests wait for first, as each is evaluated at
+/// every runner.
 const NAMES_EVALUATED: usize = 8;
 
 impl Placement {
-    /// Plans moves, or unloads by the policy, for what is wanted and no load could help.
+    /// Plans moves, or unloads under the preempting policy, for wanted names that no load can help.
     pub fn plan_moves(
         &mut self,
         runners: &[RunnerState],
@@ -39,7 +40,8 @@
         }
     }
 
-    /// What is to be done for a wanted name that no load could help: a move, or `Some(None)` to preempt.
+    /// What to do for a wanted name that no load can help: a move, or `Some(None)` to preempt. `None`:
+    /// nothing.
     fn choose_move(
         &self,
         state: &DecisionState,
@@ -86,6 +88,7 @@
         rows.iter().find(able).cloned().map(Some)
     }
 
+    /// Submits a plan of one remedy for a wanted name.
     fn submit_move_plan(
         &mut self,
         service: &Name,
--- a/src/placement/order_sending.rs
+++ b/src/placement/order_sending.rs
@@ -1,4 +1,8 @@
-use super::component::{ORDER_VALIDITY, Placement};
+//! Sends orders to runners, after checking that the runner can take them and that the store's limit on loads
+//! allows them.
+
+use super::Placement;
+use super::component::ORDER_VALIDITY;
 use super::free_room::fits;
 use super::job::DecisionJob;
 use super::load_backoff::most_used;
@@ -11,14 +15,17 @@
 use crate::msg::*;
 use std::collections::BTreeSet;
 
+/// Added to the configured load time before a load counts as finished.
 const LOAD_MARGIN: Span = Span::ms(5);
 
 impl Placement {
+    /// Sends an order that follows no other; whether it was sent.
     pub fn try_order(&mut self, runner: &Name, name: &Name, load: bool, ctx: &mut Context) -> bool {
         self.send_order(runner, name, load, false, ctx).is_some()
     }
 
-    /// `behind`: sent while an unload of this runner, which it has taken, may still be under way.
+    /// Orders a load or unload of `name` at `runner`. `follows_unload`: sent while an unload that this runner
+    /// accepted may still be under way. Returns no id if the order may not be sent now.
     pub fn send_order(
         &mut self,
         runner: &Name,
@@ -93,13 +100,13 @@
         Some(order)
     }
 
-    /// Whether a load of `name` at this runner takes of the store's allowance.
+    /// Whether a load of `name` at this runner counts against the store's limit on loads.
     pub fn uses_store(&self, s: &DutySlice, runner: &Name, name: &Name) -> bool {
         !self.is_cached(s, runner, name) && (!is_adapter(&s.config, name) || s.config.store.adapters)
     }
 
-    /// How many loads from the store a new decision could order now: those that decisions under way have yet to order
-    /// go first.
+    /// How many loads from the store a new decision could order now. Loads that decisions under way have yet
+    /// to order are subtracted.
     pub fn store_loads_left(&mut self, s: &DutySlice) -> u64 {
         let waits =
             |row: &(&Name, &DecisionJob)| row.1.awaits_load() && self.uses_store(s, row.0, row.1.want());
@@ -117,7 +124,8 @@
         self.cached_at(s, runner).is_some_and(|kept| kept.contains(name))
     }
 
-    /// A report with what it leaves out taken from the configuration and from the routers.
+    /// The report with values that it leaves out filled in from the configuration and from the routers'
+    /// reports.
     pub fn completed_report(&self, s: &DutySlice, r: &RunnerReport) -> RunnerReport {
         let mut r = self.load_backoff.corrected(&s.config, r.clone());
         let service = self.runner(s, &r.instance).map(|x| &x.service);
--- a/src/placement/order_table.rs
+++ b/src/placement/order_table.rs
@@ -1,11 +1,11 @@
-//! The orders under way, found by their runner and by the name they load.
+//! The pending orders, indexed by runner and by the name they load.
 #![deny(missing_docs)]
 
 use super::pending_orders::PendingOrder;
 use crate::kernel::ids::{Name, OrderId};
 use std::collections::BTreeMap;
 
-/// The orders under way.
+/// A table of pending orders.
 #[derive(Clone, Default)]
 pub struct OrderTable {
     orders: BTreeMap<OrderId, PendingOrder>,
@@ -14,7 +14,7 @@
 }
 
 impl OrderTable {
-    /// Adds an order, in the place of one with the same id.
+    /// Adds an order, replacing one with the same id.
     pub fn insert(&mut self, order: OrderId, flight: PendingOrder) {
         self.remove(order);
         self.by_runner.entry(flight.runner.clone()).or_default().push(order);
@@ -24,7 +24,7 @@
         self.orders.insert(order, flight);
     }
 
-    /// Takes an order out.
+    /// Removes an order.
     pub fn remove(&mut self, order: OrderId) -> Option<PendingOrder> {
         let flight = self.orders.remove(&order)?;
         forget(&mut self.by_runner, &flight.runner, order);
@@ -34,7 +34,7 @@
         Some(flight)
     }
 
-    /// Keeps those orders at a runner for which `keeps` says so; it may change them.
+    /// Keeps the orders at a runner for which `keeps` returns true; it may change them.
     pub fn retain_at(&mut self, runner: &Name, mut keeps: impl FnMut(&mut PendingOrder) -> bool) {
         for order in self.by_runner.get(runner).cloned().unwrap_or_default() {
             if self.orders.get_mut(&order).is_some_and(|flight| !keeps(flight)) {
@@ -48,22 +48,23 @@
         self.orders.get(order)
     }
 
-    /// The order with this id, to be changed; its runner, its name and what it does stay as they are.
+    /// The order with this id, to be changed. Its runner, its name and `is_load` must stay as they are, as
+    /// they are indexed.
     pub fn get_mut(&mut self, order: &OrderId) -> Option<&mut PendingOrder> {
         self.orders.get_mut(order)
     }
 
-    /// Whether the order is under way.
+    /// Whether the order is pending.
     pub fn contains_key(&self, order: &OrderId) -> bool {
         self.orders.contains_key(order)
     }
 
-    /// Whether no order is under way.
+    /// Whether no order is pending.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 
-    /// How many orders are under way.
+    /// How many orders are pending.
     pub fn len(&self) -> usize {
         self.orders.len()
     }
@@ -93,7 +94,7 @@
     }
 }
 
-/// Takes an order out of the list under `key`, and the list if it was the last.
+/// Removes an order from the list under `key`, and the list once it is empty.
 fn forget(lists: &mut BTreeMap<Name, Vec<OrderId>>, key: &Name, order: OrderId) {
     let Some(list) = lists.get_mut(key) else { return };
     list.retain(|other| *other != order);
--- a/src/placement/pending_orders.rs
+++ b/src/placement/pending_orders.rs
@@ -1,3 +1,5 @@
+//! Orders that were sent to runners and whose effect has not shown in a report yet.
+
 use super::order_counts::OrderCounts;
 use super::order_table::OrderTable;
 use super::report_polling::CONFLICT;
@@ -8,37 +10,54 @@
 use crate::kernel::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// A runner's word that it carries an order out.
+/// The status of a runner's answer that it has accepted an order and is carrying it out.
 const ACCEPTED: u16 = 202;
-/// So long after its order a load that was taken shows in the reports, held or under way.
+/// How long after its order an accepted load must show in the reports, as held or loading; later it counts as
+/// failed.
 const APPEARANCE_LIMIT: Span = Span::ms(3000);
-/// So long an order without an answer keeps others from its runner.
+/// How long an unanswered order blocks other orders to its runner.
 const ANSWER_TIMEOUT: Span = Span::ms(9000);
-/// So long after its order one without an answer is expected to arrive yet, unless a later one was taken.
+/// How long an unanswered order may still arrive at its runner, unless a later one was accepted.
 const ARRIVAL_LIMIT: Span = Span::ms(60_000);
 
+/// An order under way.
 #[derive(Clone, Debug)]
 pub struct PendingOrder {
+    /// The runner it was sent to.
     pub runner: Name,
+    /// The model or adapter.
     pub name: Name,
+    /// Whether it is a load rather than an unload.
     pub is_load: bool,
+    /// When it was sent.
     pub sent_at: Time,
+    /// The memory the name needs, in MB.
     pub weight_mb: u64,
+    /// Whether the name is an adapter.
     pub is_adapter: bool,
+    /// Whether the runner answered with success.
     pub is_accepted: bool,
+    /// Whether it is a load that counts against the store's limit.
     pub uses_store: bool,
+    /// Whether it was sent while an accepted unload of the runner might still be under way.
     pub follows_unload: bool,
+    /// How long it is expected to take once accepted.
     pub expected_duration: Span,
+    /// When it is expected to be finished; the greatest time until it is answered.
     pub expected_end_at: Time,
+    /// Whether an adapter's load counts as finished by its known duration, ahead of a report.
     pub is_finished: bool,
+    /// Whether the runner accepted it and carries it out after its answer.
     pub is_carried_out: bool,
-    /// How many orders the runner had taken as this one was decided on.
+    /// The number of orders the runner had accepted when this one was decided on.
     pub expected: u64,
-    /// It was not answered, and others may go ahead; it may still arrive until one of them was taken.
+    /// Whether it stayed unanswered for so long that it no longer blocks others. It may still arrive until
+    /// the runner accepts a later one.
     pub is_overdue: bool,
 }
 
 impl PendingOrder {
+    /// A load that a plan contains and that was not ordered yet, to reserve its memory.
     pub fn planned(runner: Name, name: Name, mb: u64, adapter: bool, since: Time) -> PendingOrder {
         let end = Time(u64::MAX);
         PendingOrder {
@@ -66,12 +85,16 @@
     }
 }
 
+/// The pending orders of all runners, and the limits and counters that new orders depend on.
 #[derive(Clone, Default)]
 pub struct PendingOrders {
+    /// The orders.
     pub table: OrderTable,
+    /// The store's limit on loads.
     pub store_budget: StoreBudget,
-    /// When a runner refused an order for a name.
+    /// When a runner refused an order for a name, by runner and name.
     pub refused_at: BTreeMap<Name, BTreeMap<Name, Time>>,
+    /// How many orders each runner has accepted.
     pub order_counts: OrderCounts,
 }
 
@@ -83,30 +106,34 @@
         at_once.min(self.store_budget.left(rule).max(0.0) as u64)
     }
 
+    /// Whether an order for `name` is pending at `runner`.
     pub fn contains(&self, runner: &Name, name: &Name) -> bool {
         self.table.at_runner(runner).any(|f| f.name == *name)
     }
 
+    /// How many orders are pending at `runner`.
     pub fn count_at(&self, runner: &Name) -> usize {
         self.table.at_runner(runner).count()
     }
 
-    /// An order whose outcome is still open: no other is sent to that runner.
+    /// Whether an order's outcome is still open, so that no other is sent to the runner.
     pub fn is_blocked(&self, runner: &Name) -> bool {
         let blocks = |f: &&PendingOrder| !f.is_overdue && !f.is_finished && (f.is_load || !f.is_accepted);
         self.table.at_runner(runner).any(|f| blocks(&f))
     }
 
-    /// What the runner gave up by an unload it has taken, while its report still shows it.
+    /// Whether the runner accepted an unload of `name` that its report does not show yet.
     pub fn is_unloading(&self, report: &RunnerReport, name: &Name) -> bool {
         self.table.at_runner(&report.instance).any(|f| f.name == *name && !f.is_load && f.is_accepted)
     }
 
+    /// The memory, in MB, of pending loads that the report does not show yet.
     pub fn pending_mb(&self, report: &RunnerReport) -> u64 {
         let new = |f: &&PendingOrder| f.is_load && !report.has(&f.name) && !report.loading.contains(&f.name);
         self.table.at_runner(&report.instance).filter(new).map(|f| f.weight_mb).sum()
     }
 
+    /// The number of pending adapter loads that the report does not show yet.
     pub fn pending_adapters(&self, report: &RunnerReport) -> u64 {
         let new = |f: &&PendingOrder| {
             f.is_load && f.is_adapter && !report.has(&f.name) && !report.loading.contains(&f.name)
@@ -114,6 +141,7 @@
         self.table.at_runner(&report.instance).filter(new).count() as u64
     }
 
+    /// Records a runner's answer to an order. A refused order is removed.
     pub fn record_answer(&mut self, now: Time, order: OrderId, status: u16) {
         self.store_budget.record_answer(order, status);
         let Some(f) = self.table.get_mut(&order) else { return };
@@ -136,19 +164,21 @@
         }
     }
 
-    /// The runner took an order that built on `expected`: what is overdue and built on no more is void.
+    /// The runner accepted an order that expected the count `expected`: overdue orders that expected the same
+    /// or a lower count can no longer be carried out and are removed.
     fn record_taken(&mut self, now: Time, runner: &Name, expected: u64) {
         self.order_counts.record_taken(now, runner, expected);
         self.table.retain_at(runner, |f| !f.is_overdue || f.expected > expected);
     }
 
-    /// Whether a report shows an order under way that is none of ours.
+    /// Whether a report shows an order under way that this holder did not send.
     pub fn has_foreign_order(&self, report: &RunnerReport) -> bool {
         let busy = report.busy || !report.loading.is_empty();
         busy && !self.table.at_runner(&report.instance).any(|f| !f.is_overdue)
     }
 
-    /// Takes in a report; whether a load that the runner had taken is neither held nor under way.
+    /// Removes the orders whose effect the report shows, and those that can no longer take effect. Returns
+    /// whether a load that the runner had accepted is neither held nor under way.
     pub fn record_report(&mut self, now: Time, report: &RunnerReport) -> bool {
         let mut vanished = false;
         self.table.retain_at(&report.instance, |f| {
@@ -174,26 +204,30 @@
         vanished
     }
 
-    /// Adapters come in a known time; the rest waits for a report.
+    /// Marks adapter loads as finished once their known duration is over. Other loads wait for a report.
     pub fn finish_adapter_loads(&mut self, now: Time) {
         for f in self.table.values_mut().filter(|f| f.is_load && f.is_adapter && f.is_carried_out) {
             f.is_finished |= now >= f.expected_end_at;
         }
     }
 
+    /// Whether the runner refused an order for `name` within the last 5 s.
     pub fn was_refused(&self, now: Time, runner: &Name, name: &Name) -> bool {
         let at = self.refused_at.get(runner).and_then(|names| names.get(name));
         at.is_some_and(|t| now.since(*t) < Span::ms(5000))
     }
 }
 
+/// Whether `name` is an adapter, also of an earlier configuration.
 pub fn is_adapter(c: &FleetConfig, name: &Name) -> bool {
     c.base_of(name).is_some()
 }
 
-/// A runner with what is known of it.
+/// A runner with its newest report.
 #[derive(Clone)]
 pub struct RunnerState {
+    /// The runner as the fleet lists it.
     pub runner: Runner,
+    /// Its report, with missing values filled in.
     pub report: RunnerReport,
 }
--- a/src/placement/placement_client.rs
+++ b/src/placement/placement_client.rs
@@ -1,4 +1,5 @@
-//! A router's side of placement: it tells wants, follows holdings, and knows the holder of the duty.
+//! A router's side of placement: it sends wants to the duty holder, receives holdings, and tracks who the
+//! holder is.
 
 use crate::fleet::holdings::{HoldingsUpdate, UnmetDemand};
 use crate::kernel::component::{Component, Context};
@@ -9,16 +10,20 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// The shortest time between two wants of the same name.
 const RESEND_INTERVAL: Span = Span::ms(20);
+/// How long a holder that sends nothing counts as known.
 const HOLDER_TIMEOUT: Span = Span::ms(1500);
+/// How often holdings are requested while some are missing.
 const REQUEST_INTERVAL: Span = Span::ms(300);
+/// The same in a large fleet.
 const REQUEST_INTERVAL_IN_LARGE_FLEET: Span = Span::ms(1000);
-/// How long wants are gathered in a large fleet: this long for each router.
+/// How long wants are gathered in a large fleet: this long for each router, in microseconds.
 const GATHER_INTERVAL_PER_ROUTER: Span = Span(600);
-/// How long wants are kept for a holder that is not known.
+/// How long wants are kept while no holder is known.
 const WANT_LIFETIME: Span = Span::ms(4000);
 
-/// Who holds the placement duty, by what it sends.
+/// Which controller holds the placement duty, by the messages it sends.
 #[derive(Clone, Copy, Default)]
 pub struct DutyHolderContact {
     node: Option<NodeId>,
@@ -27,7 +32,7 @@
 }
 
 impl DutyHolderContact {
-    /// A holder sent holdings under `term`; whether that term is still the newest.
+    /// A holder sent holdings under `term`; returns whether that term is the newest.
     pub fn record_message(&mut self, from: NodeId, term: Term, now: Time) -> bool {
         if term < self.term {
             return false;
@@ -36,13 +41,13 @@
         true
     }
 
-    /// The holder, if it was heard lately.
+    /// The holder, if it was heard of lately.
     pub fn holder(&self, now: Time) -> Option<NodeId> {
         self.node.filter(|_| now.since(self.heard_at) < HOLDER_TIMEOUT)
     }
 }
 
-/// A router's link to the holder of the placement duty: it tells wants and follows holdings.
+/// A router's connection to the holder of the placement duty.
 #[derive(Default)]
 pub struct PlacementClient {
     contact: DutyHolderContact,
@@ -51,13 +56,14 @@
     needs_full: bool,
     unsent_wants: BTreeMap<Name, UnmetDemand>,
     sent_at: BTreeMap<Name, Time>,
-    /// When wants were last sent, or dropped.
+    /// When wants were last sent or dropped.
     flushed_at: Time,
     /// Which controller is asked next while the holder is not known.
     next_controller: usize,
 }
 
 impl PlacementClient {
+    /// Whom wants are sent to: the holder, or while it is not known all controllers of a small fleet.
     fn want_receivers(&self, ctx: &Context) -> Vec<NodeId> {
         match self.contact.holder(ctx.now) {
             Some(n) => vec![n],
@@ -68,8 +74,8 @@
         }
     }
 
-    /// Whom to ask for the holdings: the holder, or while it is not known all controllers of a small fleet, one after
-    /// another those of a large one.
+    /// Whom to request holdings from: the holder, or while it is not known all controllers of a small fleet,
+    /// or the controllers of a large one in turn.
     fn holdings_sources(&mut self, ctx: &Context) -> Vec<NodeId> {
         let known = self.want_receivers(ctx);
         if !known.is_empty() {
@@ -89,6 +95,7 @@
         }
     }
 
+    /// Adds a want to those not sent yet.
     fn add(&mut self, want: &UnmetDemand) {
         let row =
             self.unsent_wants.entry(want.name.clone()).or_insert(UnmetDemand { count: 0, ..want.clone() });
@@ -96,6 +103,7 @@
         row.class = row.class.min(want.class);
     }
 
+    /// Sends the gathered wants, if it is time.
     fn flush(&mut self, ctx: &mut Context) {
         let waited = ctx.now.since(self.flushed_at);
         let holders = self.want_receivers(ctx);
@@ -122,7 +130,7 @@
         }
     }
 
-    /// Passes holdings on to the other routers of this zone.
+    /// Relays holdings to the other routers of this zone.
     fn relay(tell: &HoldingsUpdate, ctx: &mut Context) {
         let passed = Arc::new(HoldingsUpdate { relay: false, ..tell.clone() });
         let is_mate = |row: &&MemberRow| {
@@ -135,6 +143,7 @@
         }
     }
 
+    /// Takes in holdings; a gap in their numbers means that all must be requested.
     fn record_holdings(&mut self, tell: &HoldingsUpdate, ctx: &mut Context) {
         let newer = tell.term > self.contact.term;
         if tell.term < self.contact.term || (!newer && tell.seq < self.seq) {
@@ -156,6 +165,7 @@
         }
     }
 
+    /// Sends wants and requests missing holdings.
     fn tick(&mut self, ctx: &mut Context) {
         self.flush(ctx);
         let quiet = self.contact.holder(ctx.now).is_none();
--- a/src/placement/plan_building.rs
+++ b/src/placement/plan_building.rs
@@ -1,3 +1,5 @@
+//! Builds placement plans: small ones for one wanted name, and plans for all names.
+
 use super::estimates::Remedy;
 use super::free_room::{free_mb, idle_names};
 use super::layout::{Layout, RunnerRoom};
@@ -8,6 +10,7 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
+/// A plan that applies one remedy for a wanted name; `ms` is its estimated duration.
 pub fn single_name_plan(
     p: &PlanInput,
     id: PlanId,
@@ -38,6 +41,7 @@
     p.build_plan(id, why, stages)
 }
 
+/// The unloads that make a wanted name fit at a runner.
 fn unloads_for(p: &PlanInput, runner: &Name, want: &Name) -> Vec<PlanStep> {
     let Some(o) = p.runners.iter().find(|o| o.runner.instance == *runner) else { return vec![] };
     let wanted = |n: &Name| p.demand_of(n) > 0;
@@ -60,7 +64,7 @@
     steps
 }
 
-/// A plan for all names, of up to `most` loads; how many rooms were weighed is added to `weighed`.
+/// A plan for all names with up to `most` loads. The number of evaluated runners is added to `weighed`.
 pub fn full_plan(p: &PlanInput, id: PlanId, why: &str, most: usize, weighed: &Cell<u64>) -> PlacementPlan {
     let mut layout = Layout::of(p);
     let evacuate = evacuation_moves(p, &mut layout, id);
@@ -76,7 +80,7 @@
     }
     weighed.set(weighed.get() + layout.evaluated());
     let rooms = layout.rooms();
-    let unloads = rooms.iter().flat_map(|room| steps(room, &room.unload, false)).collect::<Vec<_>>();
+    let unloads = rooms.iter().flat_map(|room| runner_steps(room, &room.unload, false)).collect::<Vec<_>>();
     let mut stages = Vec::new();
     if !evacuate.is_empty() {
         stages.push(p.build_stage("make way", evacuate));
@@ -86,8 +90,9 @@
     }
     let mut left = most;
     for n in 0.. {
-        let nth =
-            |room: &RunnerRoom| Some(steps(room, std::slice::from_ref(room.load.get(n)?), true).remove(0));
+        let nth = |room: &RunnerRoom| {
+            Some(runner_steps(room, std::slice::from_ref(room.load.get(n)?), true).remove(0))
+        };
         let row: Vec<PlanStep> = rooms.iter().filter_map(nth).take(left).collect();
         if row.is_empty() {
             break;
@@ -100,7 +105,8 @@
     plan
 }
 
-fn steps(room: &RunnerRoom, names: &[Name], load: bool) -> Vec<PlanStep> {
+/// The steps that load or unload these names at a runner.
+fn runner_steps(room: &RunnerRoom, names: &[Name], load: bool) -> Vec<PlanStep> {
     let one = |name: &Name| {
         let (runner, name) = (room.runner.clone(), name.clone());
         if load { PlanStep::Load { runner, name } } else { PlanStep::Unload { runner, name } }
@@ -108,6 +114,7 @@
     names.iter().map(one).collect()
 }
 
+/// Moves of the running streams of leaving runners to others of their service.
 fn evacuation_moves(p: &PlanInput, layout: &mut Layout, id: PlanId) -> Vec<PlanStep> {
     let mut out = Vec::new();
     let mut taken: BTreeMap<&Name, u64> = BTreeMap::new();
--- a/src/placement/plan_execution.rs
+++ b/src/placement/plan_execution.rs
@@ -1,4 +1,7 @@
-use super::component::{Placement, REPORT_FRESHNESS};
+//! Executes the current stage of running plans step by step, and has the chain record the end of each stage.
+
+use super::Placement;
+use super::component::REPORT_FRESHNESS;
 use crate::fleet::config::Allowance;
 use crate::fleet::plan::*;
 use crate::fleet::runner::RunnerReport;
@@ -8,8 +11,10 @@
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 
+/// How long the head has to record the end of a stage, or a move, before it is sent again.
 const RESEND_DELAY: Span = Span::ms(600);
 
+/// The progress of a plan's current stage.
 pub struct StageProgress {
     stage: u64,
     started_at: Time,
@@ -17,6 +22,7 @@
     reported_at: Time,
 }
 
+/// How far a step of a stage is.
 enum StepStatus {
     Done,
     Pending,
@@ -24,6 +30,7 @@
 }
 
 impl Placement {
+    /// Advances the running plans.
     pub fn run_plans(&mut self, s: &DutySlice, ctx: &mut Context) {
         self.plan_progress.retain(|id, _| s.plans.iter().any(|p| p.id == *id && p.is_running()));
         for p in s.plans.iter().filter(|p| p.is_running()) {
@@ -31,6 +38,8 @@
         }
     }
 
+    /// Advances a plan's current stage, and ends it when its steps are done, one has failed, or its allowance
+    /// is used up.
     fn run_plan(&mut self, p: &PlacementPlan, s: &DutySlice, ctx: &mut Context) {
         let Some(stage) = p.current_stage() else { return };
         let new = StageProgress { stage: p.stage, started_at: ctx.now, tries: 0, reported_at: Time(0) };
@@ -65,6 +74,7 @@
         }
     }
 
+    /// Orders what a step needs; returns how far it is.
     fn run_step(
         &mut self,
         p: &PlacementPlan,
@@ -135,17 +145,20 @@
         }
     }
 
+    /// Counts an order or a move of the plan's stage.
     fn count_try(&mut self, p: &PlacementPlan) {
         if let Some(row) = self.plan_progress.get_mut(&p.id) {
             row.tries += 1;
         }
     }
 
+    /// A runner's report, if it is fresh.
     fn fresh_report(&self, runner: &Name, now: Time) -> Option<RunnerReport> {
         let row = self.reports.get(runner).filter(|r| now.since(r.0) < REPORT_FRESHNESS)?;
         Some(row.1.clone())
     }
 
+    /// The status of a step at a runner without a fresh report: pending as long as the runner is listed.
     fn missing_runner(&self, runner: &Name, s: &DutySlice) -> StepStatus {
         if s.runners.iter().any(|r| r.instance == *runner) {
             return StepStatus::Pending;
@@ -153,6 +166,7 @@
         StepStatus::Failed(format!("{runner} is no longer listed; propose again"))
     }
 
+    /// Has the chain record the end of the plan's current stage and the plan's next state.
     fn finish_stage(
         &mut self,
         p: &PlacementPlan,
--- a/src/placement/plan_input.rs
+++ b/src/placement/plan_input.rs
@@ -1,3 +1,5 @@
+//! The input of placement plans, and the estimates that their stages contain.
+
 use super::pending_orders::{PendingOrders, RunnerState};
 use crate::fleet::FleetConfig;
 use crate::fleet::plan::{PlacementPlan, PlanStage, PlanState, PlanStep};
@@ -5,34 +7,49 @@
 use crate::kernel::time::Time;
 use std::collections::BTreeMap;
 
+/// What a plan is made from.
 pub struct PlanInput<'a> {
+    /// The configuration.
     pub config: &'a FleetConfig,
+    /// Its version.
     pub config_version: Version,
+    /// The runners with fresh reports.
     pub runners: Vec<RunnerState>,
+    /// The pending orders, with planned loads.
     pub pending: &'a PendingOrders,
+    /// The time of the plan.
     pub now: Time,
+    /// How many requests wait for each name.
     pub demand: BTreeMap<Name, u64>,
+    /// By service, the retries that routers have saved up.
     pub retry_credit: BTreeMap<Name, u64>,
+    /// The runners that the plan must leave alone.
     pub busy_runners: Vec<Name>,
 }
 
+/// The time that a stage allows for its unloads, in ms.
 pub const UNLOAD_MS: u64 = 400;
+/// The time that a stage allows for a load besides its configured duration, in ms.
 pub const STEP_MS: u64 = 300;
 
 impl PlanInput<'_> {
+    /// How many requests wait for a name.
     pub fn demand_of(&self, name: &Name) -> u64 {
         self.demand.get(name).copied().unwrap_or(0)
     }
 
+    /// The staying runners that hold a name.
     pub fn holders<'b>(&'b self, name: &'b Name) -> impl Iterator<Item = &'b RunnerState> {
         self.runners.iter().filter(|o| o.report.has(name) && !o.runner.leaving)
     }
 
+    /// How long so many loads wait for the store's limit, in ms.
     pub fn store_wait_ms(&self, loads: u64) -> u64 {
         let spare = self.pending.store_budget.clone().left(&self.config.store).max(0.0) as u64;
         loads.saturating_sub(spare) * 60_000 / self.config.store.loads_per_minute.max(1)
     }
 
+    /// A stage with its estimated duration, loads and retries.
     pub fn build_stage(&self, name: &str, steps: Vec<PlanStep>) -> PlanStage {
         let (mut ms, mut loads, mut tries) = (0, 0, 0);
         for s in &steps {
@@ -56,6 +73,7 @@
         PlanStage { name: name.into(), steps, ms: ms + self.store_wait_ms(loads), loads, tries, spent: None }
     }
 
+    /// A plan of these stages, with what each runner holds after them.
     pub fn build_plan(&self, id: PlanId, why: String, stages: Vec<PlanStage>) -> PlacementPlan {
         let mut holds: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
         for o in &self.runners {
--- a/src/placement/plan_rehearsal.rs
+++ b/src/placement/plan_rehearsal.rs
@@ -1,13 +1,21 @@
+//! Rehearses a plan before it is submitted: follows its stages on paper and looks for faults.
+
 use super::plan_input::PlanInput;
 use crate::fleet::plan::{PlacementPlan, PlanStep};
 use crate::kernel::ids::Name;
 use std::collections::BTreeMap;
 
+/// The result of a rehearsal.
 pub struct PlanRehearsal {
+    /// Its figures as `key=value` pairs.
     pub note: String,
+    /// What is wrong with the plan; a plan with faults isn't run.
     pub faults: Vec<String>,
 }
 
+/// Rehearses a plan. It finds runners that don't report or would overrun their memory, unloads of models with
+/// running streams, retries beyond the saved credit, and names with waiting requests that would lose their
+/// last holder.
 pub fn rehearse(p: &PlanInput, plan: &PlacementPlan) -> PlanRehearsal {
     let mut faults = Vec::new();
     let mut used: BTreeMap<&Name, (u64, u64)> = BTreeMap::new();
@@ -95,6 +103,7 @@
     PlanRehearsal { note, faults }
 }
 
+/// Whether a runner reports and is not leaving.
 fn stays(p: &PlanInput, runner: &Name) -> bool {
     p.runners.iter().any(|o| o.runner.instance == *runner && !o.runner.leaving)
 }
--- a/src/placement/proposals.rs
+++ b/src/placement/proposals.rs
@@ -1,4 +1,7 @@
-use super::component::Placement;
+//! Proposes plans from the demand that routers report: for wanted names that fit nowhere, for runners that
+//! are leaving, for free memory, and on an operator's request.
+
+use super::Placement;
 use super::pending_orders::{PendingOrder, PendingOrders, RunnerState};
 use super::plan_building::full_plan;
 use super::plan_input::PlanInput;
@@ -12,19 +15,24 @@
 use crate::rollout::router_reports::report_freshness;
 use std::collections::BTreeMap;
 
+/// How long a submitted plan keeps other plans off its runners before the slice shows it.
 const CLAIM_DURATION: Span = Span::ms(1000);
+/// The shortest time between two plans for leaving runners, and how long old claims are kept.
 const EVACUATION_INTERVAL: Span = Span::ms(3000);
+/// The most loads of a plan that the holder proposes by itself.
 const IDLE_PLAN_MAX_LOADS: usize = 4;
-/// The shortest time between two plans for free room while nothing is waited for: this long for each runner.
+/// The shortest time between two plans for free memory, while no request waits: this long for each runner.
 const IDLE_PLAN_INTERVAL_PER_RUNNER: Span = Span::ms(3);
 
 impl Placement {
+    /// The retries that routers have saved up for a service; moves of running streams are paid from them.
     pub(super) fn retry_credit(&self, service: &Name, ctx: &Context) -> u64 {
         let freshness = report_freshness(self.router_reports.len());
         let live = self.router_reports.values().filter(|t| ctx.now.since(t.0) < freshness);
         live.flat_map(|t| &t.1.tries).filter(|r| r.0 == *service).map(|r| r.3).sum()
     }
 
+    /// By service and name, how many requests wait according to fresh router reports, the most first.
     fn unmet_demand(&self, ctx: &Context) -> Vec<(Name, Name, u64)> {
         let mut sum: BTreeMap<(&Name, &Name), u64> = BTreeMap::new();
         let freshness = report_freshness(self.router_reports.len());
@@ -40,10 +48,13 @@
         rows
     }
 
+    /// Whether a plan that was submitted a moment ago uses the runner or name.
     pub(super) fn is_claimed(&self, name: &Name, now: Time) -> bool {
         self.claims.get(name).is_some_and(|t| now.since(*t) < CLAIM_DURATION)
     }
 
+    /// The runners that a move, a plan's current stage, a job, a claim or a pause after a failed load keeps
+    /// from other plans.
     pub fn busy_runners(&self, s: &DutySlice, now: Time) -> Vec<Name> {
         let mut rows: Vec<Name> = Vec::new();
         for m in s.moves.iter().filter(|m| m.is_active()) {
@@ -65,6 +76,7 @@
         rows
     }
 
+    /// The pending orders, with the loads of plans that were not ordered yet.
     pub fn orders_with_planned(&self, s: &DutySlice, now: Time) -> PendingOrders {
         let mut all = self.pending.clone();
         let unseen = self.submitted_plans.values().flat_map(|r| &r.1);
@@ -82,6 +94,7 @@
         all
     }
 
+    /// Proposes the plans that are due.
     pub fn propose_plans(&mut self, s: &DutySlice, ctx: &mut Context) {
         let demand = self.unmet_demand(ctx);
         let hot: Vec<Name> = demand.iter().map(|d| d.1.clone()).collect();
@@ -128,6 +141,7 @@
         }
     }
 
+    /// What a plan is made from.
     pub fn plan_input<'a>(
         &self,
         s: &'a DutySlice,
@@ -152,6 +166,7 @@
         }
     }
 
+    /// Submits a plan for all names with up to `most` loads, unless it is empty.
     fn propose_full_plan(
         &mut self,
         why: &str,
@@ -171,6 +186,7 @@
         self.submit_plan(plan, tried, s, ctx, None);
     }
 
+    /// Answers an operator's request for a plan.
     fn answer_plan_request(
         &mut self,
         id: ChangeId,
@@ -192,6 +208,8 @@
         self.submit_change(Change::Plan { term: self.term, plan, asked: Some(id) }, ctx);
     }
 
+    /// Submits a plan to the head, unless its rehearsal found faults. It runs at once or waits for an
+    /// operator's approval, as the settings say.
     pub(super) fn submit_plan(
         &mut self,
         mut plan: PlacementPlan,
--- a/src/placement/replica_capacity.rs
+++ b/src/placement/replica_capacity.rs
@@ -1,7 +1,8 @@
-//! How much of a model's demand the runners that hold it can carry.
+//! How many requests for a model its holders can serve.
 //!
-//! A runner serves all that it holds from the same slots. What each model has under way is counted as spread evenly
-//! over its holders; a holder then carries of one model what its easy load leaves beside the others.
+//! A runner serves all names that it holds from the same slots. The requests of each model are counted as
+//! spread evenly over its holders. A holder can then serve, of one model, what its comfortable load leaves
+//! beside the requests of its other models.
 #![deny(missing_docs)]
 
 use super::pending_orders::RunnerState;
@@ -10,36 +11,38 @@
 use crate::kernel::ids::Name;
 use std::collections::BTreeMap;
 
-/// Up to so many requests at once a runner is at ease, if that is at most three quarters of its slots.
+/// A runner serves up to this many concurrent requests without slowing much, if that is at most three
+/// quarters of its slots.
 const COMFORTABLE_REQUESTS: u64 = 10;
 
-/// What is known of a model over all its holders.
+/// One model's totals over its holders.
 #[derive(Clone, Copy, Default, Debug)]
 struct ModelReplicas {
     holders: u64,
     requests: u64,
     tokens: u64,
-    /// How many requests of this model its holders can carry with ease.
+    /// How many requests for this model its holders serve without slowing much.
     capacity: f64,
 }
 
-/// How many of so many slots are an easy load.
+/// How many concurrent requests so many slots serve without slowing much.
 fn comfortable_share(slots: u64) -> u64 {
     (slots / 4).max((slots * 3 / 4).min(COMFORTABLE_REQUESTS)).max(1)
 }
 
-/// The models held, and how many of their requests the holders carry.
+/// The models that runners hold, and how many requests the holders can serve.
 #[derive(Default)]
 pub struct ReplicaCapacity<'a> {
     models: BTreeMap<&'a Name, ModelReplicas>,
-    /// What each runner has under way of its easy load, if each model is spread evenly; by place.
+    /// By index, each runner's expected requests relative to its comfortable load, if each model's are spread
+    /// evenly.
     load_ratios: Vec<f64>,
-    /// Adapters in use, by their model.
+    /// The number of adapters in use, by their model.
     used_adapters: BTreeMap<&'a Name, u64>,
 }
 
 impl<'a> ReplicaCapacity<'a> {
-    /// Counts over the reports of runners that stay.
+    /// Computes the totals from the reports of runners that stay.
     pub fn of(
         runners: &'a [RunnerState],
         uses: &UsageByName,
@@ -76,13 +79,13 @@
         copies
     }
 
-    /// The requests of a model that run at each of its holders, if they are spread evenly.
+    /// The requests of a model at each of its holders, if they are spread evenly.
     fn share_per_holder(&self, name: &Name, uses: &UsageByName) -> f64 {
         let holders = self.models.get(name).map_or(0, |held| held.holders).max(1);
         uses.get(name).map_or(0, |u| u.active_requests) as f64 / holders as f64
     }
 
-    /// How many requests of a model one runner carries without slowing much.
+    /// How many requests for a model one runner serves without slowing much.
     fn comfortable_load(&self, name: &Name, service: &Service) -> u64 {
         let held = self.models.get(name).copied().unwrap_or_default();
         let each = held.tokens.checked_div(held.requests).unwrap_or(0);
@@ -90,7 +93,7 @@
         comfortable_share(service.slots.min(by_tokens))
     }
 
-    /// The part of its easy load that the runner at a place has under way; it may be over 1.
+    /// The runner's expected requests relative to its comfortable load; it may be over 1.
     pub fn load_ratio(&self, index: usize) -> f64 {
         self.load_ratios.get(index).copied().unwrap_or(0.0)
     }
@@ -103,7 +106,8 @@
         }
     }
 
-    /// How many more runners should hold a model that so many requests run or wait for, besides those `coming`.
+    /// How many more runners should hold a model that `demand` requests run or wait for, besides `coming`
+    /// loads under way.
     pub fn missing_replicas(&self, name: &Name, demand: u64, coming: u64, service: &Service) -> u64 {
         let held = self.models.get(name).copied().unwrap_or_default();
         let comfortable_share = self.comfortable_load(name, service);
@@ -113,7 +117,7 @@
         by_load.max(by_places.saturating_sub(held.holders + coming))
     }
 
-    /// Whether the model would be short of runners without one of them.
+    /// Whether the model would have too few replicas without one of its holders.
     pub fn needs_every_holder(&self, name: &Name, demand: u64, service: &Service) -> bool {
         let held = self.models.get(name).copied().unwrap_or_default();
         let left = held.capacity * held.holders.saturating_sub(1) as f64 / held.holders.max(1) as f64;
@@ -121,7 +125,7 @@
         held.holders <= by_places.max(1) || left < demand as f64
     }
 
-    /// A runner is about to give the model up.
+    /// Records that a runner is about to unload the model.
     pub fn remove_holder(&mut self, name: &Name) {
         if let Some(held) = self.models.get_mut(name) {
             held.capacity -= held.capacity / held.holders.max(1) as f64;
--- a/src/placement/report_polling.rs
+++ b/src/placement/report_polling.rs
@@ -1,4 +1,6 @@
-use super::component::Placement;
+//! Polls runners for their reports, and takes in reports and answers to orders.
+
+use super::Placement;
 use super::runner_choice::MIN_RESIDENCE;
 use crate::fleet::holdings::UnmetDemand;
 use crate::fleet::runner::RunnerReport;
@@ -8,22 +10,29 @@
 use crate::msg::*;
 use std::collections::BTreeMap;
 
+/// How often a runner without requests is polled.
 const IDLE_POLL_INTERVAL: Span = Span::ms(1000);
+/// How often a runner with requests is polled.
 const BUSY_POLL_INTERVAL: Span = Span::ms(500);
-/// With more runners than this those at work are asked less often, in proportion.
+/// With more runners than this those with requests are polled less often, in proportion.
 const RUNNERS_POLLED_OFTEN: u64 = 64;
-/// A tick asks up to this many runners for reports, or
+/// A tick polls up to this many runners, or
 const POLLS_PER_TICK: usize = 16;
-/// one of so many, so that they don't all answer at the same moment.
+/// one of so many, whichever is more, so that they don't all answer at the same moment.
 const RUNNERS_PER_POLL: usize = 16;
+/// The shortest delay until the poll that checks an accepted order.
 const MIN_POLL_DELAY: Span = Span::ms(80);
+/// How long an unanswered poll keeps the runner from being polled again.
 const POLL_TIMEOUT: Span = Span::ms(1000);
+/// The age from which a report gives way to one with a lower order count, and the shortest time between two
+/// checks of reported holdings.
 const STALE_AFTER: Span = Span::ms(1500);
-/// How often the reports are searched for what routers miss.
+/// How often the reports are searched for names that routers miss.
 const HOLDINGS_SEARCH_INTERVAL: Span = Span::ms(20);
-/// A runner's refusal of an order for want of room, or because another is under way.
+/// A runner's refusal of an order for lack of memory, or because another one is under way.
 pub const CONFLICT: u16 = 409;
 
+/// When a runner is polled.
 #[derive(Clone, Copy, Default)]
 pub struct PollState {
     next_at: Time,
@@ -31,13 +40,13 @@
 }
 
 impl PollState {
-    /// When the report that is awaited was asked for.
+    /// When the poll that is still unanswered was sent.
     pub fn pending_since(&self) -> Option<Time> {
         self.pending_since
     }
 }
 
-/// How long a runner at work is left, if so many are known.
+/// How often a runner with requests is polled, if so many runners are known.
 fn busy_poll_interval(runners: usize) -> Span {
     Span(
         (BUSY_POLL_INTERVAL.0 * runners as u64 / RUNNERS_POLLED_OFTEN)
@@ -45,15 +54,18 @@
     )
 }
 
+/// The poll state of each runner.
 pub type Polls = BTreeMap<Name, PollState>;
 
 impl Placement {
+    /// Polls the runner at `when` at the latest.
     pub fn poll_by(&mut self, runner: &Name, when: Time) {
         if let Some(l) = self.polls.get_mut(runner) {
             l.next_at = l.next_at.min(when);
         }
     }
 
+    /// Polls the runners that are due, up to the tick's limit.
     pub fn poll_runners(&mut self, ctx: &mut Context) {
         let Some(s) = self.slice.clone() else { return };
         if self.term == Term(0) {
@@ -109,7 +121,8 @@
         ctx.log_event("order-answered", text);
     }
 
-    /// A runner's told room has turned out wrong, unless its report shows that it was at work on something.
+    /// Records that the free memory a runner reported has turned out wrong, unless its report shows that it
+    /// was busy with a load or unload.
     pub fn record_load_failure(&mut self, runner: &Name, why: &str, ctx: &mut Context) {
         let working = |r: &RunnerReport| r.busy || !r.loading.is_empty();
         if self.reports.get(runner).is_some_and(|r| working(&r.1)) {
@@ -121,7 +134,8 @@
         self.load_backoff.record_failure(runner, ctx.now);
     }
 
-    /// A router misses what is known as held: both may be wrong.
+    /// A router misses names that reports show as held. Either may be outdated, so the router is sent all
+    /// holdings and the holders are polled.
     pub fn recheck_holdings(&mut self, from: NodeId, rows: &[UnmetDemand], ctx: &mut Context) {
         if ctx.now.since(self.holdings_checked_at) < STALE_AFTER
             || ctx.now.since(self.holdings_searched_at) < HOLDINGS_SEARCH_INTERVAL
@@ -143,7 +157,7 @@
         }
     }
 
-    /// A report that was made before one already known says nothing.
+    /// Whether a report was made before the known one, so that it must be ignored.
     pub fn is_outdated(&self, now: Time, r: &RunnerReport) -> bool {
         let Some((at, old)) = self.reports.get(&r.instance) else { return false };
         r.orders < old.orders && now.since(*at) < STALE_AFTER
@@ -175,6 +189,7 @@
         self.cached.entry(instance.clone()).or_default().extend(r.holds.iter().cloned());
     }
 
+    /// Sets when the runner is polled next, after its report or a failed poll.
     pub fn finish_poll(&mut self, runner: &Name, report: Option<&RunnerReport>, ctx: &Context) {
         let ends = self.pending.table.at_runner(runner).filter(|f| f.is_accepted);
         let soon = ends.map(|f| f.expected_end_at.max(ctx.now + MIN_POLL_DELAY)).min();
--- a/src/placement/runner_choice.rs
+++ b/src/placement/runner_choice.rs
@@ -1,4 +1,7 @@
-//! Where a wanted model or adapter is loaded, and what gives way to it.
+//! Chooses the runner that loads a wanted name, and what is unloaded there for it.
+//!
+//! Each runner is scored by the estimated time until the name is held, to which the waiting that the unloads
+//! cause is added. The runner with the lowest sum is chosen.
 
 use super::decision_state::DecisionState;
 use super::free_room::{adapters_free, free_mb};
@@ -6,41 +9,47 @@
 use crate::kernel::ids::Name;
 use crate::kernel::time::Span;
 
+/// A model with more running requests than this is not unloaded.
 const MAX_RUNS_TO_UNLOAD: u64 = 3;
+/// The cost of each request that runs on an unloaded model.
 const INTERRUPTED_RUN_MS: f64 = 1500.0;
+/// The cost of unloading a name from its last holder.
 const LAST_HOLDER_MS: f64 = 100.0;
+/// How far ahead the use of an unloaded name is estimated from its rate.
 const REUSE_WINDOW_S: f64 = 5.0;
+/// The cost of loading an unloaded name again, weighted by how likely that is.
 const RELOAD_MS: f64 = 2000.0;
+/// The time an unload takes.
 const UNLOAD_MS: f64 = 40.0;
-/// What it costs to load a model where the others have all of the runner's easy load under way.
+/// The cost of a runner that already has as many requests under way as it serves well.
 const FULL_LOAD_MS: f64 = 800.0;
 /// How long a name stays where it was just loaded.
 pub const MIN_RESIDENCE: Span = Span::ms(2000);
 
-/// What a load costs at one runner, whatever is loaded.
+/// The parts of a load's cost at one runner that don't depend on what is loaded.
 pub struct RunnerCosts<'a> {
     free_mb: u64,
     free_adapter_places: u64,
     held_adapters: u64,
     adapter_churn_ms: f64,
-    /// What may give way, with the waiting that its absence costs in ms; the cheapest first.
+    /// What may be unloaded, with the cost of its absence in ms of waiting; the cheapest first.
     unloadable: Vec<(f64, &'a Name)>,
 }
 
-/// Where a load goes, what is unloaded for it, and the time and the loss that are estimated.
+/// Where a name is loaded, what is unloaded for it, and the estimated time and loss.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     /// The runner.
     pub runner: Name,
-    /// What gives way, in this order.
+    /// What is unloaded, in this order.
     pub unloads: Vec<Name>,
-    /// The estimated time until the name is held, with all losses counted as time.
+    /// The estimated time until the name is held, in ms, with all losses added as time.
     pub estimated_ms: u64,
-    /// The part of `ms` that is lost by the unloads.
+    /// The part of `estimated_ms` that the unloads cost.
     pub loss_ms: u64,
 }
 
-/// What a load costs at the runner at one place.
+/// A runner's score for a load.
 struct ScoredRunner<'a> {
     index: usize,
     unloads: Vec<&'a Name>,
@@ -49,11 +58,13 @@
 }
 
 impl<'a> DecisionState<'a> {
+    /// The requests per second for adapters of `base` that the runner holds.
     fn adapter_request_rate(&self, o: &RunnerState, base: &Name) -> f64 {
         let on = o.report.holds.iter().filter(|n| self.config().adapter(n).is_some_and(|a| a.model == *base));
         on.filter_map(|n| self.usage.by_name.get(n)).map(|u| u.requests_per_s).sum()
     }
 
+    /// Whether a name may not be unloaded, as it was just loaded or an order for it is pending.
     fn must_stay(&self, runner: &Name, name: &Name) -> bool {
         let new = self.placement.resident_since.get(runner).and_then(|names| names.get(name));
         new.is_some_and(|t| self.now.since(*t) < MIN_RESIDENCE) || self.is_in_flight(runner, name)
@@ -63,7 +74,7 @@
         self.pending.contains(runner, name)
     }
 
-    /// What it costs, in ms of waiting, that `name` leaves this runner.
+    /// The cost, in ms of waiting, of unloading `name` from this runner; none if it must stay.
     fn unload_loss(&self, o: &RunnerState, name: &Name) -> Option<f64> {
         let runner = &o.runner.instance;
         if self.must_stay(runner, name) {
@@ -96,6 +107,7 @@
         Some(loss)
     }
 
+    /// What the runner may unload, with its cost, the cheapest first.
     fn unloadable(&self, o: &'a RunnerState) -> Vec<(f64, &'a Name)> {
         let rows = o.report.holds.iter().filter_map(|n| Some((self.unload_loss(o, n)?, n)));
         let mut rows: Vec<(f64, &Name)> = rows.collect();
@@ -103,6 +115,7 @@
         rows
     }
 
+    /// The runner's costs, computed once.
     fn costs_at(&self, index: usize) -> &RunnerCosts<'a> {
         self.runner_costs[index].get_or_init(|| {
             let (o, c) = (&self.runners[index], self.config());
@@ -116,6 +129,8 @@
         })
     }
 
+    /// The cheapest names to unload so that `want` fits, and their total cost; none if it can't be made to
+    /// fit.
     fn unloads_for<'c>(
         &self,
         o: &RunnerState,
@@ -145,12 +160,14 @@
         (free >= need).then_some((names, loss))
     }
 
+    /// The memory, in MB, that unloading a model frees, its adapters included.
     fn freed_mb(&self, o: &RunnerState, name: &Name) -> u64 {
         let c = self.config();
         let mine = |n: &&Name| *n == name || c.base_of(n) == Some(name);
         o.report.holds.iter().filter(mine).filter_map(|n| c.min_mb(n)).sum()
     }
 
+    /// Scores one runner for loading `want`; none if it can't.
     fn score(&self, index: usize, want: &Name) -> Option<ScoredRunner<'a>> {
         let (o, c) = (&self.runners[index], self.config());
         let runner = &o.runner.instance;
@@ -183,7 +200,8 @@
         Some(ScoredRunner { index, unloads, estimated_ms: ms, loss_ms: loss as u64 })
     }
 
-    /// Adapters of a base that is in use can't be loaded while a model is.
+    /// The cost of blocking loads of adapters while a model is loaded, from the use of the models here that
+    /// have adapters.
     fn adapter_churn(&self, o: &RunnerState) -> f64 {
         let all = self
             .models_with_adapters
@@ -193,8 +211,9 @@
         (rates.sum::<f64>() * 100.0).min(800.0)
     }
 
-    /// The runner of the service where `want` is held soonest with the least loss. Without `from_store` only those
-    /// count that load it from their own disk, unless such loads don't ask the store at all.
+    /// The runner of the service where `want` is held soonest with the least loss. Without `from_store` only
+    /// runners that load it from their own disk are considered, unless such loads don't count against the
+    /// store's limit.
     pub fn choose(&self, service: &Name, want: &Name, from_store: bool) -> Option<Choice> {
         let free = is_adapter(self.config(), want) && !self.config().store.adapters;
         let indexes = match self.config().adapter(want) {
--- a/src/placement/runners.rs
+++ b/src/placement/runners.rs
@@ -1,4 +1,8 @@
-use super::component::{Placement, REPORT_FRESHNESS};
+//! The fleet's runners as the duty holder sees them, the changes that it submits to the chain's head, and
+//! unloads under the preempting policy.
+
+use super::Placement;
+use super::component::REPORT_FRESHNESS;
 use super::free_room::fits;
 use super::pending_orders::{RunnerState, is_adapter};
 use crate::daemon::assemble::Policy;
@@ -12,11 +16,12 @@
 use crate::msg::*;
 use std::collections::BTreeSet;
 
-/// How long a list that was sent to the head has until it is sent again.
+/// How long the head has to record a list of runners before it is sent again.
 const LIST_RESEND_DELAY: Span = Span::ms(600);
 
 impl Placement {
-    /// Unloads what runs least, where the policy is to end runs for what is wanted.
+    /// Unloads a model for `want`, if the policy is to end running requests: at the runner with the fewest
+    /// requests, the model with the fewest of them.
     pub fn preempt(
         &mut self,
         s: &DutySlice,
@@ -41,7 +46,7 @@
         }
     }
 
-    /// Takes what the list of runners says now, if it differs from what the fleet has recorded.
+    /// Sends a list of runners to the head if it differs from the recorded one.
     pub fn record_runner_list(&mut self, list: &[Runner], ctx: &mut Context) {
         let Some(s) = &self.slice else { return };
         if self.term == Term(0) || list.is_empty() && s.runners.is_empty() {
@@ -68,6 +73,7 @@
         ctx.send(head, Msg::OperatorCall { id, attempt: 0, op: OperatorCall::SetRunners(list.to_vec()) });
     }
 
+    /// Sends a change of the fleet's state to the chain's head, without waiting for the outcome.
     pub fn submit_change(&mut self, change: Change, ctx: &mut Context) {
         let Some(head) = ctx.views.view.as_ref().and_then(|v| v.head()) else { return };
         let id = ChangeId::random(ctx.rand);
@@ -79,32 +85,33 @@
         s.runners.get(*self.runner_index.get(name)?).filter(|runner| runner.instance == *name)
     }
 
-    /// Whether a runner is of the fleet and not about to leave it.
+    /// Whether a runner belongs to the fleet and is not leaving it.
     pub(super) fn is_staying(&self, name: &Name) -> bool {
         let runner = self.slice.as_ref().and_then(|s| self.runner(s, name));
         runner.is_some_and(|runner| !runner.leaving)
     }
 
-    /// The runners whose reports tell what they hold.
+    /// The runners that give reports.
     pub fn polled_runners<'a>(&self, s: &'a DutySlice) -> impl Iterator<Item = &'a Runner> + use<'a> {
         let bare_plain = self.has_unpolled_plain_runners;
         let plain = |r: &Runner| s.config.service(&r.service).is_some_and(|x| x.sort == ServiceKind::Plain);
         s.runners.iter().filter(move |r| !(bare_plain && plain(r)))
     }
 
-    /// The runners whose reports are fresh.
+    /// The runners with fresh reports.
     pub fn runner_states(&self, now: Time) -> Vec<RunnerState> {
         let Some(s) = &self.slice else { return vec![] };
         s.runners.iter().filter_map(|r| self.runner_state(r, s, now)).collect()
     }
 
+    /// A runner with its report, if that is fresh.
     fn runner_state(&self, runner: &Runner, s: &DutySlice, now: Time) -> Option<RunnerState> {
         let (at, report) = self.reports.get(&runner.instance)?;
         let fresh = now.since(*at) < REPORT_FRESHNESS && report.instance == runner.instance;
         fresh.then(|| RunnerState { runner: runner.clone(), report: self.completed_report(s, report) })
     }
 
-    /// Whether a load of `name` fits at a runner by its fresh report.
+    /// Whether a load of `name` fits at a runner, by its fresh report.
     pub fn fits_at(&self, runner: &Name, name: &Name, s: &DutySlice, now: Time) -> bool {
         let runner_state = self.runner(s, runner).and_then(|r| self.runner_state(r, s, now));
         runner_state.is_some_and(|o| fits(&s.config, &o, &self.pending, name))
--- a/src/placement/usage.rs
+++ b/src/placement/usage.rs
@@ -1,6 +1,6 @@
-//! How much models, adapters and runners are used, by what routers tell.
+//! How much models, adapters and runners are used, summed over the routers' reports.
 
-use super::component::Placement;
+use super::Placement;
 use crate::fleet::config::Class;
 use crate::fleet::holdings::UnmetDemand;
 use crate::kernel::ids::*;
@@ -10,9 +10,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How long a router that fell silent is remembered.
+/// How long the last report of a silent router is kept.
 const REPORT_LIFETIME: Span = Span::ms(5000);
-/// How often the sums are made anew: this long for each router that tells, and
+/// How often the sums are computed: this long for each reporting router, and
 const REFRESH_INTERVAL_PER_ROUTER: Span = Span::ms(3);
 /// at least this long.
 const MIN_REFRESH_INTERVAL: Span = Span::ms(20);
@@ -22,7 +22,7 @@
 pub struct UsageTotal {
     /// How long nobody has used it.
     pub idle_for: Span,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
     /// Requests under way.
     pub active_requests: u64,
@@ -34,20 +34,22 @@
     }
 }
 
-/// The uses by name.
+/// The usage of each name.
 pub type UsageByName = BTreeMap<Name, UsageTotal>;
 
-/// What all routers together tell of the use of names and runners.
+/// The usage of names and runners, summed over all routers.
 #[derive(Default)]
 pub struct Usage {
     /// By model or adapter.
     pub by_name: UsageByName,
-    /// By runner: the models with requests under way.
+    /// By runner: the models with requests under way, and how many.
     pub active_by_runner: BTreeMap<Name, Vec<(Name, u64)>>,
+    /// When the sums were computed.
     computed_at: Time,
 }
 
 impl Usage {
+    /// Sums the routers' reports.
     fn of(
         tells: &BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
         used: &BTreeMap<Name, Time>,
@@ -91,7 +93,7 @@
         Usage { by_name: names, active_by_runner: running, computed_at: now }
     }
 
-    /// The requests of a model that are under way at a runner.
+    /// The requests for a model that are under way at a runner.
     pub fn active_requests(&self, runner: &Name, name: &Name) -> u64 {
         let rows = self.active_by_runner.get(runner);
         rows.and_then(|rows| rows.iter().find(|r| r.0 == *name)).map_or(0, |r| r.1)
@@ -99,7 +101,7 @@
 }
 
 impl Placement {
-    /// Takes in what a router tells of itself.
+    /// Takes in a router's report.
     pub fn record_router_report(&mut self, from: NodeId, tell: &Arc<RouterReport>, now: Time) {
         for u in &tell.uses {
             match self.last_used_at.get_mut(&u.name) {
@@ -115,7 +117,7 @@
         self.router_reports.insert(from, (now, tell.clone()));
     }
 
-    /// Sums anew what routers tell, unless that was done a moment ago.
+    /// Computes the sums again, unless that was done a moment ago.
     pub fn refresh_usage(&mut self, now: Time) {
         let gap = Span(
             (REFRESH_INTERVAL_PER_ROUTER.0 * self.router_reports.len() as u64).max(MIN_REFRESH_INTERVAL.0),
--- a/src/placement/wanted_names.rs
+++ b/src/placement/wanted_names.rs
@@ -1,7 +1,7 @@
-//! The names that requests wait for, as routers tell them.
+//! The names that requests wait for, as reported by routers.
 #![deny(missing_docs)]
 
-use super::component::Placement;
+use super::Placement;
 use crate::fleet::config::Class;
 use crate::fleet::holdings::UnmetDemand;
 use crate::kernel::ids::{Name, NodeId};
@@ -9,35 +9,37 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// How long what a router told of its waiting requests counts.
+/// How long a router's report of waiting requests counts.
 const WANT_LIFETIME: Span = Span::ms(1500);
-/// How often older ones are looked for.
+/// How often expired reports are removed.
 const EXPIRY_INTERVAL: Span = Span::ms(100);
 
-/// What a request counts as having waited when it is told of, in ms.
+/// The time that a request counts as having waited when it is first reported, in ms.
 const INITIAL_WAIT_MS: u64 = 100;
 
 /// A name that requests wait for.
 pub struct WantedName {
-    /// Its service.
+    /// The service it is wanted in.
     pub service: Name,
     /// The most urgent class that waits.
     pub class: Class,
-    /// Since when.
+    /// When it was first reported.
     pub wanted_since: Time,
-    /// Until when it is not weighed again, as no runner could take it.
+    /// Until when it is skipped, as no runner could load it.
     pub(super) retry_after: Cell<Time>,
+    /// By router, the time of its report and the number of its waiting requests.
     reports: BTreeMap<NodeId, (Time, u64)>,
 }
 
 impl WantedName {
-    /// How many requests wait.
+    /// How many requests wait for it.
     pub fn waiting_requests(&self) -> u64 {
         self.reports.values().map(|r| r.1).sum()
     }
 
-    /// The waiting of all requests for it so far, in ms, weighed by their class. The name with the most is met first:
-    /// what many ask for goes ahead of what one asks for, and no name is passed over for ever.
+    /// The total waiting time of its requests so far, in ms, weighted by class. The name with the highest
+    /// value is handled first: what many requests wait for goes ahead of what one waits for, and no name
+    /// starves.
     pub fn pressure(&self, now: Time) -> u64 {
         let weight = match self.class {
             Class::Counter => 64,
@@ -50,7 +52,7 @@
 }
 
 impl Placement {
-    /// A router tells what its requests wait for.
+    /// Takes in a router's report that requests wait for a name.
     pub fn record_want(&mut self, from: NodeId, want: &UnmetDemand, now: Time) {
         let row = self.wanted_names.entry(want.name.clone()).or_insert_with(|| {
             self.search.has_news = true;
@@ -66,7 +68,7 @@
         row.reports.insert(from, (now, want.count));
     }
 
-    /// Forgets what no router has told of lately.
+    /// Removes names that no router has reported lately.
     pub(super) fn expire_wants(&mut self, now: Time) {
         if now.since(self.search.wants_expired_at) < EXPIRY_INTERVAL {
             return;
@@ -78,7 +80,7 @@
         self.wanted_names.retain(|_, wanted| !wanted.reports.is_empty());
     }
 
-    /// The wanted names in the order in which they are met.
+    /// The wanted names in the order in which they are handled.
     pub fn wanted_by_pressure(&self, now: Time) -> Vec<&Name> {
         let mut names: Vec<(u64, &Name)> =
             self.wanted_names.iter().map(|(name, wanted)| (wanted.pressure(now), name)).collect();
@@ -86,7 +88,7 @@
         names.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// How many requests wait for a name.
+    /// How many requests wait for `name`.
     pub fn waiting_requests(&self, name: &Name) -> u64 {
         self.wanted_names.get(name).map_or(0, |w| w.waiting_requests())
     }
--- a/src/placement/withdrawn_names.rs
+++ b/src/placement/withdrawn_names.rs
@@ -1,7 +1,7 @@
-//! Unloads what runners hold of models and adapters that no configuration offers any more.
+//! Unloads models and adapters that the configuration no longer offers.
 #![deny(missing_docs)]
 
-use super::component::Placement;
+use super::Placement;
 use super::pending_orders::RunnerState;
 use crate::fleet::config::FleetConfig;
 use crate::fleet::slice::DutySlice;
@@ -9,11 +9,11 @@
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 
-/// How often runners are searched for names that nothing offers.
+/// How often runners are searched for withdrawn names.
 const SEARCH_INTERVAL: Span = Span::ms(1000);
 
 impl Placement {
-    /// Orders unloads of withdrawn names whose runs are over, one at a runner.
+    /// Orders unloads of withdrawn names without running requests, one at a runner.
     pub fn unload_withdrawn(&mut self, s: &DutySlice, ctx: &mut Context) {
         if ctx.now.since(self.withdrawn_searched_at) < SEARCH_INTERVAL {
             return;
@@ -33,7 +33,8 @@
         }
     }
 
-    /// A withdrawn name that a runner can unload now. An adapter goes with its model where both were withdrawn.
+    /// A withdrawn name that a runner can unload now. An adapter is unloaded along with its model if both
+    /// were withdrawn.
     fn withdrawn_at(&self, runner_state: &RunnerState, config: &FleetConfig, now: Time) -> Option<Name> {
         let (report, runner) = (&runner_state.report, &runner_state.runner.instance);
         let gone = |name: &Name| config.weight(name).is_none();
--- a/src/rollout/candidate.rs
+++ b/src/rollout/candidate.rs
@@ -1,3 +1,6 @@
+//! Rolls a candidate configuration out: on the chain's head, waits until all routers hold it and have
+//! rehearsed it on their requests, then has the chain commit or refuse it.
+
 use crate::fleet::config::{Allowance, Rollout as Rules};
 use crate::fleet::state::*;
 use crate::kernel::component::{Component, Context};
@@ -8,14 +11,18 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// How often routers that are late are reminded.
 const REMINDER_INTERVAL: Span = Span::ms(1000);
+/// How long the chain has to record a verdict before it is submitted again.
 const SETTLE_RESEND_DELAY: Span = Span::ms(1500);
+/// The age up to which a router's report is used.
 const REPORT_FRESHNESS: Span = Span::ms(1500);
-/// A router's report that is older is dropped.
+/// The age at which a router's report is dropped.
 const REPORT_LIFETIME: Span = Span::ms(10_000);
-/// How often old reports are looked for.
+/// How often old reports are removed.
 const EXPIRY_INTERVAL: Span = Span::ms(1000);
 
+/// The rollout of one candidate.
 struct CandidateRollout {
     id: ChangeId,
     started_at: Time,
@@ -27,21 +34,30 @@
     settled_at: Option<Time>,
 }
 
+/// The rollout component of a controller.
 #[derive(Default)]
 pub struct Rollout {
+    /// The newest report of each router, and when it arrived.
     router_reports: BTreeMap<NodeId, (Time, Arc<RouterReport>)>,
+    /// The rollout under way.
     candidate: Option<CandidateRollout>,
+    /// The last proposed change, and when it was proposed.
     proposed_at: Option<(ChangeId, Time)>,
+    /// A committed configuration that not all routers use yet, and when it was committed.
     spreading: Option<(Version, Time)>,
+    /// The last configuration that all routers use, and how long that took, in ms.
     last_spread: Option<(Version, u64)>,
+    /// When old reports were last removed.
     expired_at: Time,
 }
 
+/// The record of a stage.
 fn figure(name: &str, ms: u64, tries: u64, a: &Allowance, note: String) -> StageFigure {
     StageFigure { name: name.into(), ms, ms_allowed: a.ms, tries, tries_allowed: a.tries, note }
 }
 
 impl Rollout {
+    /// Removes old reports at intervals.
     fn expire_reports(&mut self, now: Time) {
         if now.since(self.expired_at) >= EXPIRY_INTERVAL {
             self.expired_at = now;
@@ -49,16 +65,19 @@
         }
     }
 
+    /// The live routers.
     fn routers(ctx: &Context) -> Vec<NodeId> {
         let live = ctx.views.members.iter().filter(|r| r.who.role == Role::Router && r.silence < QUIET_AFTER);
         live.map(|r| r.who.node).collect()
     }
 
+    /// The rules for a rollout: those in force, or the candidate's own if it is the first configuration.
     fn rules(ctx: &Context, c: &Candidate) -> Rules {
         let now = &ctx.views.state;
         if now.config_version > Version(0) { now.config.rollout.clone() } else { c.config.rollout.clone() }
     }
 
+    /// Starts, advances or drops the rollout of the current candidate.
     fn tick(&mut self, ctx: &mut Context) {
         self.track_spread(ctx);
         let Some(candidate) = &ctx.views.state.candidate else {
@@ -88,6 +107,8 @@
         self.advance(id, &rules, ctx);
     }
 
+    /// Ends a stage once all routers are done with it, or refuses the candidate when the stage's allowance is
+    /// used up or too many requests would be refused.
     fn advance(&mut self, id: ChangeId, rules: &Rules, ctx: &mut Context) {
         let routers = Self::routers(ctx);
         let Some(t) = &mut self.candidate else { return };
@@ -171,10 +192,12 @@
         Self::settle(id, verdict, stages, ctx);
     }
 
+    /// Submits the verdict on a candidate.
     fn settle(id: ChangeId, verdict: Verdict, stages: Vec<StageFigure>, ctx: &mut Context) {
         ctx.publish(JournalEvent::Submitted(Arc::new(Change::Settle { id, verdict, stages })));
     }
 
+    /// Logs how long a committed configuration took to reach all routers.
     fn track_spread(&mut self, ctx: &mut Context) {
         let Some((at, since)) = self.spreading else { return };
         let routers = Self::routers(ctx);
--- a/src/rollout/router_reports.rs
+++ b/src/rollout/router_reports.rs
@@ -1,4 +1,4 @@
-//! What a router tells of itself, sent to the controllers that use it.
+//! Sends a router's reports of its own state to the controllers that use them.
 
 use crate::chain::view::View;
 use crate::kernel::component::{Component, Context, Views};
@@ -9,13 +9,14 @@
 use crate::placement::placement_client::DutyHolderContact;
 use std::sync::Arc;
 
-/// With up to this many routers all controllers are told, so that a new holder knows the use of names at once.
+/// With up to this many routers all controllers get their reports, so that a new duty holder knows the use of
+/// names at once.
 const SMALL_FLEET_ROUTERS: usize = 32;
-/// How often a router tells of itself in a small fleet. With more routers it does so less often, in proportion,
+/// How often a router reports in a small fleet. With more routers it does so less often, in proportion,
 const SHORTEST_INTERVAL: Span = Span::ms(250);
 /// but at least this often.
 const LONGEST_INTERVAL: Span = Span::ms(1000);
-/// How much later than its interval a report may come and is still taken for the newest.
+/// How much later than its interval a report may arrive and still be used.
 const REPORT_DELAY: Span = Span::ms(950);
 
 /// How many routers are known.
@@ -23,28 +24,28 @@
     views.members.iter().filter(|row| row.who.role == Role::Router).count()
 }
 
-/// Whether so many routers are few enough to turn to all controllers.
+/// Whether so many routers are few enough to send to all controllers.
 pub fn is_small_fleet(routers: usize) -> bool {
     routers <= SMALL_FLEET_ROUTERS
 }
 
-/// Whether the routers are few enough to tell all controllers of themselves.
+/// Whether the routers are few enough to report to all controllers.
 pub fn reports_to_all_controllers(views: &Views) -> bool {
     is_small_fleet(router_count(views))
 }
 
-/// How often each of so many routers tells of itself.
+/// How often each of so many routers reports.
 pub fn report_interval(routers: usize) -> Span {
     let proportional = SHORTEST_INTERVAL.0 * routers as u64 / SMALL_FLEET_ROUTERS as u64;
     Span(proportional.clamp(SHORTEST_INTERVAL.0, LONGEST_INTERVAL.0))
 }
 
-/// How long the report of one of so many routers counts.
+/// How long a report is used, with so many routers.
 pub fn report_freshness(routers: usize) -> Span {
     report_interval(routers) + REPORT_DELAY
 }
 
-/// What the head was told last.
+/// What the head was last sent.
 #[derive(Default, PartialEq)]
 struct ToldHead {
     candidate: ChangeId,
@@ -53,20 +54,22 @@
     leaving: Vec<Name>,
 }
 
-/// Sends a router's state to those that use it. In a small fleet all controllers are told of all. In others the holder
-/// of the placement duty is, at intervals, and the head of what it uses: routes, changes that are tried, and runners
-/// that are leaving. Nobody is told in the holder's place while it is not known: a new one makes itself known.
+/// Sends a router's reports. In a small fleet all controllers get all of them. In a larger one the duty
+/// holder gets them at intervals, and the head when something it uses changes: routes, candidate
+/// configurations, and leaving runners. While the holder is not known nobody gets reports in its place; a new
+/// holder makes itself known.
 #[derive(Default)]
 pub struct RouterReporter {
     holder_contact: DutyHolderContact,
     holder: Option<NodeId>,
     view: ViewNo,
-    /// When the holder is to be told next.
+    /// When the holder gets the next report.
     next_report_at: Time,
     sent_to_head: ToldHead,
 }
 
 impl RouterReporter {
+    /// Forgets what the head was sent if the view or the holder has changed.
     fn track_receivers(&mut self, ctx: &Context) {
         let (view, holder) =
             (ctx.views.view.as_ref().map_or(ViewNo(0), |v| v.no), self.holder_contact.holder(ctx.now));
@@ -76,6 +79,7 @@
         }
     }
 
+    /// Sends a report to all controllers.
     fn report_to_all(tell: &Arc<RouterReport>, ctx: &mut Context) {
         let receivers: Vec<NodeId> = ctx.views.controllers().map(|row| row.who.node).collect();
         for to in receivers {
@@ -83,6 +87,8 @@
         }
     }
 
+    /// Sends a report to the head if it contains news for it, and to the holder if that or the interval calls
+    /// for it.
     fn report_to_users(&mut self, tell: &Arc<RouterReport>, routers: usize, ctx: &mut Context) {
         let head = ctx.views.view.as_ref().and_then(View::head);
         let news = self.is_news_for_head(tell);
@@ -98,7 +104,8 @@
         }
     }
 
-    /// Whether the head is to be told at once. It is told anew as long as a change is tried or a runner is leaving.
+    /// Whether the head gets this report at once. It gets every report while a candidate is tried or a runner
+    /// is leaving.
     fn is_news_for_head(&mut self, tell: &RouterReport) -> bool {
         let told = ToldHead {
             candidate: tell.candidate_seen,
@@ -113,7 +120,7 @@
     }
 }
 
-/// The next time at which it is this router's turn, so that not all tell at the same moment.
+/// The next time at which it is this router's turn, so that not all report at the same moment.
 fn next_report_time(me: NodeId, interval: Span, now: Time) -> Time {
     let offset = mix(me.0) % interval.0;
     let since_turn = (now.0 + interval.0 - offset) % interval.0;
--- a/tests/wants.rs
+++ b/tests/wants.rs
@@ -5,7 +5,7 @@
 use spindledock::fleet::holdings::UnmetDemand;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
-use spindledock::placement::component::Placement;
+use spindledock::placement::Placement;
 
 const BEGIN: Time = Time(5_000_000);
 
