--- a/src/daemon/command_line.rs
+++ b/src/daemon/command_line.rs
@@ -20,22 +20,22 @@
 Settings come from a JSON file (--config FILE), from flags, or from both; a flag wins.
   --address IP:PORT   where the fleet's own processes reach this one
   --admin IP:PORT     where operators and the platform reach it
-  --http IP:PORT      where callers reach it (router only)
+  --http IP:PORT      where clients reach it (router only)
   --domain NAME       its zone
   --seeds A,B,C       one to three addresses of processes, its own may be among them
-  --bear N            how many lost controllers must be borne (default 1)
+  --bear N            how many lost controllers are tolerated (default 1)
   --first BOOL        false once the fleet has been started before (default true)
   --core N            how many controllers found the fleet, if not 2 x bear + 1
   --data DIR          its data folder (controller only)
-  --drain-ms N        how long it may finish streams after a warning (default 8000)
-  --lame-ms N         after a warning, how long it goes on taking orders (default 0)
-  --proof-ms N        how long a router serves after its last proof that it knows the newest (default 2000)
-  --lease-ms N        how long a router may go on while no controller is reached (default 4500)
-  --check             check the settings, print the faults and end
-  --inspect           tell what this controller's data folder holds and end
+  --drain-ms N        how long it may finish streams after SIGTERM (default 8000)
+  --lame-ms N         how long it still accepts requests after SIGTERM (default 0)
+  --proof-ms N        how long a router serves after its last proof of a current state (default 2000)
+  --lease-ms N        how long a router may serve while it reaches no controller (default 4500)
+  --check             check the settings, print the faults and exit
+  --inspect           print what this controller's data folder holds and exit
   --restore-as-only I-KNOW-THE-OTHERS-ARE-LOST
-                      make this copy the whole chain and end; see docs/operators/machines.md
-  --help              print this and end";
+                      make this copy the whole chain and exit; see docs/operators/machines.md
+  --help              print this and exit";
 
 /// What the command line asks for.
 pub enum StartMode {
@@ -104,12 +104,12 @@
     let read = read(role, &tree);
     match read {
         Ok(_) if confirmation.as_ref().is_some_and(|w| w != RESTORE_CONFIRMATION) => {
-            let what = "is not given with its word".to_string();
+            let what = "needs a confirmation".to_string();
             Err(vec![Fault::new(
                 Kind::Usage,
                 "--restore-as-only",
                 what,
-                format!("say {RESTORE_CONFIRMATION}, if that is so"),
+                format!("give {RESTORE_CONFIRMATION} if all other copies are lost"),
             )])
         }
         Ok(config) if bad.is_empty() => Ok(match (check, inspect, confirmation) {
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -51,12 +51,12 @@
 }
 
 /// The address under `key`; `None` with a fault if it is malformed, or missing although it `must` be there.
-fn address(r: &mut Reader, key: &'static str, must: bool) -> Option<SocketAddr> {
-    let text = match (r.take(key), must) {
+fn address(reader: &mut Reader, key: &'static str, must: bool) -> Option<SocketAddr> {
+    let text = match (reader.take(key), must) {
         (Some(Tree::Text(t)), _) => t.clone(),
         (None, false) => return None,
         (None, true) => {
-            r.fault(key, "is missing", "give IP:PORT");
+            reader.fault(key, "is missing", "give IP:PORT");
             return None;
         }
         _ => String::new(),
@@ -64,7 +64,11 @@
     match text.parse::<SocketAddr>() {
         Ok(a) if a.port() != 0 && !a.ip().is_unspecified() => Some(a),
         _ => {
-            r.fault(key, &format!("\"{text}\" is no address others can reach"), "give IP:PORT, both set");
+            reader.fault(
+                key,
+                &format!("\"{text}\" is not an address that other machines can reach"),
+                "give IP:PORT, both set",
+            );
             None
         }
     }
@@ -72,59 +76,65 @@
 
 /// Reads and checks the settings of a process with `role`. Fails with all faults found.
 pub fn read(role: Role, tree: &Tree) -> Result<NodeConfig, Vec<Fault>> {
-    let mut r = Reader::new("", tree);
-    let addr = address(&mut r, "address", true);
-    let admin = address(&mut r, "admin", true);
-    let http = address(&mut r, "http", role == Role::Router);
+    let mut reader = Reader::new("", tree);
+    let addr = address(&mut reader, "address", true);
+    let admin = address(&mut reader, "admin", true);
+    let http = address(&mut reader, "http", role == Role::Router);
     if role == Role::Controller && http.is_some() {
-        r.fault("http", "is set for a controller", "remove it; only routers take callers");
+        reader.fault("http", "is set for a controller", "remove it; only routers serve clients");
     }
-    let domain = r.text("domain", None);
-    if domain.is_empty() && r.faults.iter().all(|f| f.place != "domain") {
-        r.fault("domain", "is empty", "name the zone this process runs in");
+    let domain = reader.text("domain", None);
+    if domain.is_empty() && reader.faults.iter().all(|f| f.place != "domain") {
+        reader.fault("domain", "is empty", "name the zone this process runs in");
     }
     let mut seeds = Vec::new();
-    for text in r.texts("seeds") {
+    for text in reader.texts("seeds") {
         match text.parse::<SocketAddr>() {
-            Ok(a) if seeds.contains(&a) => r.fault("seeds", &format!("{a} is given twice"), "keep one"),
+            Ok(a) if seeds.contains(&a) => reader.fault("seeds", &format!("{a} is given twice"), "keep one"),
             Ok(a) => seeds.push(a),
-            Err(_) => r.fault("seeds", &format!("\"{text}\" is not IP:PORT"), "give addresses by number"),
+            Err(_) => {
+                reader.fault("seeds", &format!("\"{text}\" is not IP:PORT"), "give addresses by number")
+            }
         }
     }
-    if !(1..=3).contains(&seeds.len()) && r.faults.iter().all(|f| f.place != "seeds") {
-        r.fault(
+    if !(1..=3).contains(&seeds.len()) && reader.faults.iter().all(|f| f.place != "seeds") {
+        reader.fault(
             "seeds",
             &format!("holds {} addresses", seeds.len()),
             "give one to three addresses of the fleet's processes",
         );
     }
-    let core_size = r.num("core", Some(0), 2, 9) as usize;
-    let tolerated_failures = r.num("bear", Some(1), 0, 4) as usize;
-    let may_found = r.flag("first", true);
-    let data = r.take("data").cloned();
+    let core_size = reader.num("core", Some(0), 2, 9) as usize;
+    let tolerated_failures = reader.num("bear", Some(1), 0, 4) as usize;
+    let may_found = reader.flag("first", true);
+    let data = reader.take("data").cloned();
     let data = match (data, role) {
         (Some(Tree::Text(t)), Role::Controller) if !t.is_empty() => Some(PathBuf::from(t)),
         (None, Role::Router) => None,
         (_, Role::Router) => {
-            r.fault("data", "is set for a router", "remove it; routers keep nothing on disk");
+            reader.fault("data", "is set for a router", "remove it; routers keep nothing on disk");
             None
         }
         _ => {
-            r.fault("data", "is missing or no path", "name a folder on a disk that keeps what is synced");
+            reader.fault("data", "is missing or not a path", "name a folder on a persistent disk");
             None
         }
     };
-    let lame_ms = r.num("lame_ms", Some(0), 0, 600_000);
-    let drain_ms = r.num("drain_ms", Some(8000), 0, 600_000);
-    let freshness_limit_ms = r.num("proof_ms", Some(2000), 1000, 60_000);
-    let serving_lease_ms =
-        r.num("lease_ms", Some(freshness_limit_ms.max(SERVING_LEASE.as_ms())), freshness_limit_ms, 120_000);
+    let lame_ms = reader.num("lame_ms", Some(0), 0, 600_000);
+    let drain_ms = reader.num("drain_ms", Some(8000), 0, 600_000);
+    let freshness_limit_ms = reader.num("proof_ms", Some(2000), 1000, 60_000);
+    let serving_lease_ms = reader.num(
+        "lease_ms",
+        Some(freshness_limit_ms.max(SERVING_LEASE.as_ms())),
+        freshness_limit_ms,
+        120_000,
+    );
     if let (Some(a), Some(b)) = (addr, admin)
         && (a == b || http == Some(a) || http == Some(b))
     {
-        r.fault("admin", "shares its port with another address", "give each its own port");
+        reader.fault("admin", "shares its port with another address", "give each its own port");
     }
-    let bad = r.done();
+    let bad = reader.done();
     match (addr, admin) {
         (Some(addr), Some(admin)) if bad.is_empty() => {
             let domain = Name(domain);
--- a/src/daemon/disk_writer.rs
+++ b/src/daemon/disk_writer.rs
@@ -14,7 +14,7 @@
 /// The pause after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The most batches that are written and synced together.
-const JOBS_PER_WRITE_MAX: usize = 256;
+const MAX_BATCHES_PER_WRITE: usize = 256;
 
 /// What the thread shares with the driver.
 #[derive(Clone)]
@@ -75,7 +75,7 @@
             };
             let mut jobs: Vec<(u64, WriteBatch)> = first.into_iter().collect();
             while !jobs.is_empty()
-                && jobs.len() < JOBS_PER_WRITE_MAX
+                && jobs.len() < MAX_BATCHES_PER_WRITE
                 && let Ok(job) = rx.try_recv()
             {
                 jobs.push(job);
--- a/src/daemon/effect_handler.rs
+++ b/src/daemon/effect_handler.rs
@@ -23,15 +23,15 @@
     pool: &Arc<Pool>,
     node: &NodeHandle,
     routers: &Arc<AtomicU64>,
-    (runners, fit, departure): (&Runners, &Arc<AtomicBool>, &Arc<Mutex<Departure>>),
+    (runners, is_ready, departure): (&Runners, &Arc<AtomicBool>, &Arc<Mutex<Departure>>),
     (protocols, list): (&Protocols, Option<Arc<RunnerListPoller>>),
 ) -> EffectHandler {
     let (table, clock, pool, node, routers) =
         (table.clone(), clock.clone(), pool.clone(), node.clone(), routers.clone());
-    let (runners, fit, side) = (runners.clone(), fit.clone(), protocols.runner.clone());
+    let (runners, is_ready, side) = (runners.clone(), is_ready.clone(), protocols.runner.clone());
     let departure = departure.clone();
-    let rt = tokio::runtime::Handle::current();
-    Box::new(move |e| match e {
+    let runtime = tokio::runtime::Handle::current();
+    Box::new(move |effect| match effect {
         Effect::Topic { scope, at, slice, proven } => table.learn(clock.now(), &scope, at, slice, proven),
         Effect::ServingLease { scopes, until } => table.lease(clock.now(), &scopes, until),
         Effect::RunnerLeaving(name) => table.mark(clock.now(), &name),
@@ -42,19 +42,19 @@
         Effect::Holdings(rows) => table.held(clock.now(), &rows),
         Effect::QuotaGranted(grants) => table.quota.lock().unwrap().granted(clock.now(), &grants),
         Effect::PollRunner(name) => {
-            let found = runners.lock().unwrap().iter().find(|r| r.instance == name).cloned();
-            let Some(r) = found else { return };
+            let found = runners.lock().unwrap().iter().find(|runner| runner.instance == name).cloned();
+            let Some(runner) = found else { return };
             let (pool, node, side) = (pool.clone(), node.clone(), side.clone());
-            rt.spawn(async move {
-                let report = runner_calls::fetch_report(&pool, &*side, &r).await;
-                node.send(Event::RunnerReport { instance: r.instance, report });
+            runtime.spawn(async move {
+                let report = runner_calls::fetch_report(&pool, &*side, &runner).await;
+                node.send(Event::RunnerReport { instance: runner.instance, report });
             });
         }
-        Effect::Ready(ready) => fit.store(ready, Ordering::SeqCst),
+        Effect::Ready(ready) => is_ready.store(ready, Ordering::SeqCst),
         Effect::Leaving(now) => *departure.lock().unwrap() = now,
         Effect::OrderRunner(order) => {
             let (pool, clock, node, side) = (pool.clone(), clock.clone(), node.clone(), side.clone());
-            rt.spawn(async move {
+            runtime.spawn(async move {
                 let status = runner_calls::send_order(&pool, &*side, clock, &order).await;
                 node.send(Event::OrderAnswered { order: order.order, status });
             });
--- a/src/daemon/links.rs
+++ b/src/daemon/links.rs
@@ -23,9 +23,9 @@
 /// The time limit of writing one message; after it the connection is replaced.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The pause after the first failed connection attempt; it doubles with each further one.
-const RECONNECT_DELAY_MIN: Duration = Duration::from_millis(100);
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// The longest pause between connection attempts.
-const RECONNECT_DELAY_MAX: Duration = Duration::from_millis(800);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(800);
 /// A link without messages is closed after this long.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// An incoming link without messages is closed after this long.
@@ -33,9 +33,9 @@
 /// A link is dropped if written bytes stay unacknowledged for this long.
 const UNACKNOWLEDGED_TIMEOUT_MS: libc::c_int = 2000;
 /// The longest wait for a turn of the runtime.
-const TURN_WAIT_MAX: Duration = Duration::from_millis(50);
+const MAX_TURN_WAIT: Duration = Duration::from_millis(50);
 /// The most connection attempts at a time.
-const CONCURRENT_CONNECTS_MAX: usize = 32;
+const MAX_CONCURRENT_CONNECTS: usize = 32;
 
 /// The links of one node.
 pub struct Links {
@@ -65,7 +65,7 @@
         Arc::new(Links {
             runtime,
             queues: Mutex::default(),
-            connect_permits: Semaphore::new(CONCURRENT_CONNECTS_MAX),
+            connect_permits: Semaphore::new(MAX_CONCURRENT_CONNECTS),
             bad_frames: AtomicU64::new(0),
             dropped_messages: AtomicU64::new(0),
             traffic: Traffic::default(),
@@ -85,13 +85,13 @@
         self.dropped_messages.fetch_add(dropped, Ordering::Relaxed);
     }
 
-    /// Waits until the runtime has run the tasks that it was given so far, at most `TURN_WAIT_MAX`.
+    /// Waits until the runtime has run the tasks that it was given so far, at most `MAX_TURN_WAIT`.
     pub fn wait_for_runtime(&self) {
         let (done, turn) = std::sync::mpsc::sync_channel(1);
         self.runtime.spawn(async move {
             let _ = done.send(());
         });
-        let _ = turn.recv_timeout(TURN_WAIT_MAX);
+        let _ = turn.recv_timeout(MAX_TURN_WAIT);
     }
 
     /// Accepts links from other nodes and passes their messages to `handler`.
@@ -129,7 +129,7 @@
 
     /// Sends the messages of one queue until the link has been idle for `IDLE_TIMEOUT`.
     async fn run_writer(self: Arc<Links>, addr: SocketAddr, queue: Arc<PeerQueue>) {
-        let (mut tcp, mut reconnect_delay): (Option<TcpStream>, Duration) = (None, RECONNECT_DELAY_MIN);
+        let (mut tcp, mut reconnect_delay): (Option<TcpStream>, Duration) = (None, MIN_RECONNECT_DELAY);
         loop {
             if queue.is_empty() {
                 let idle = tokio::time::timeout(IDLE_TIMEOUT, queue.message_added.notified()).await.is_err();
@@ -146,10 +146,10 @@
             }
             let Some(t) = &mut tcp else {
                 tokio::time::sleep(reconnect_delay).await;
-                reconnect_delay = (reconnect_delay * 2).min(RECONNECT_DELAY_MAX);
+                reconnect_delay = (reconnect_delay * 2).min(MAX_RECONNECT_DELAY);
                 continue;
             };
-            reconnect_delay = RECONNECT_DELAY_MIN;
+            reconnect_delay = MIN_RECONNECT_DELAY;
             let (next, old) = queue.next(BootClock.now());
             self.dropped_messages.fetch_add(old, Ordering::Relaxed);
             let Some(raw) = next else { continue };
--- a/src/daemon/peer_queue.rs
+++ b/src/daemon/peer_queue.rs
@@ -7,9 +7,9 @@
 use tokio::sync::Notify;
 
 /// Messages that have waited longer are dropped instead of sent.
-const MESSAGE_AGE_MAX: Span = Span::ms(2000);
+const MAX_MESSAGE_AGE: Span = Span::ms(2000);
 /// The most messages that wait for one peer.
-const QUEUE_LENGTH_MAX: usize = 256;
+const MAX_QUEUE_LENGTH: usize = 256;
 
 /// The messages that wait for one peer, the most urgent first, in the same lanes as a node's inputs.
 pub struct PeerQueue {
@@ -21,7 +21,7 @@
 impl Default for PeerQueue {
     fn default() -> PeerQueue {
         PeerQueue {
-            messages: Mutex::new(InputQueue::limited(QUEUE_LENGTH_MAX)),
+            messages: Mutex::new(InputQueue::limited(MAX_QUEUE_LENGTH)),
             message_added: Notify::default(),
         }
     }
@@ -43,7 +43,7 @@
         let mut messages = self.messages.lock().unwrap();
         let mut old = 0;
         while let Some(next) = messages.pop(now) {
-            if next.waited <= MESSAGE_AGE_MAX {
+            if next.waited <= MAX_MESSAGE_AGE {
                 return (Some(next.item), old);
             }
             old += 1;
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -71,8 +71,8 @@
             }
             Ok(_) => {}
             Err(bad) => {
-                for f in &bad {
-                    log::warn!(event = "settings-kept", fault = f.to_string(); "");
+                for fault in &bad {
+                    log::warn!(event = "settings-kept", fault = fault.to_string(); "");
                 }
             }
         }
--- a/src/daemon/router_tasks.rs
+++ b/src/daemon/router_tasks.rs
@@ -1,4 +1,4 @@
-//! The periodic work of a router's process: reports of its state to the node, and the ticks of its gates.
+//! The periodic work of a router's process: reports of its state to the node, and the ticks of its balancers.
 
 use super::input::NodeHandle;
 use crate::gate::Table;
@@ -12,10 +12,10 @@
 
 /// Every how many rounds the traffic by route is part of a router's report.
 const TRAFFIC_EVERY_ROUNDS: u64 = 8;
-/// Every how many ticks of a router's gates the limits on client connections are applied.
+/// Every how many ticks of a router's balancers the limits on client connections are applied.
 const SWEEP_TICKS: u32 = 4;
 
-/// Starts what only a router does: it reports its state and its wants to the node, and ticks its gates.
+/// Starts what only a router does: it reports its state and its wants to the node, and ticks its balancers.
 pub(super) fn router_tasks(
     table: &Arc<Table>,
     clock: &Arc<dyn Clock>,
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -39,15 +39,15 @@
             return 0.into();
         }
         Ok(StartMode::Checked) => {
-            println!("settings are fine");
+            println!("the settings are valid");
             return 0.into();
         }
         Ok(StartMode::Inspect(config)) => return super::restore::run(&config, false),
         Ok(StartMode::Restore(config)) => return super::restore::run(&config, true),
         Ok(StartMode::Run(config)) => config,
         Err(bad) => {
-            for f in &bad {
-                eprintln!("{name}: {f}");
+            for fault in &bad {
+                eprintln!("{name}: {fault}");
             }
             eprintln!("{name}: {} fault(s); nothing was started", bad.len());
             return 2.into();
@@ -55,12 +55,12 @@
     };
     logs::start();
     super::panics::end_process_on_panic();
-    let rt = match config.is_single_threaded {
+    let runtime = match config.is_single_threaded {
         true => tokio::runtime::Builder::new_current_thread().enable_all().build(),
         false => tokio::runtime::Builder::new_multi_thread().enable_all().build(),
     };
-    let rt = rt.expect("the machine must let this process start threads");
-    match rt.block_on(run(config, source)) {
+    let runtime = runtime.expect("the machine must let this process start threads");
+    match runtime.block_on(run(config, source)) {
         Ok(()) => 0.into(),
         Err(e) => {
             eprintln!("{name}: {e:?}");
@@ -70,44 +70,44 @@
 }
 
 /// The settings of the node within the process.
-pub fn node_settings(c: &NodeConfig) -> NodeSettings {
+pub fn node_settings(config: &NodeConfig) -> NodeSettings {
     NodeSettings {
-        addr: c.addr,
-        admin: c.admin,
-        domain: c.domain.clone(),
-        seeds: c.seeds.clone(),
-        core_size: c.core_size,
-        tolerated_failures: c.tolerated_failures,
-        may_found: c.may_found,
-        freshness_limit: Span::ms(c.freshness_limit_ms),
-        serving_lease: Span::ms(c.serving_lease_ms),
+        addr: config.addr,
+        admin: config.admin,
+        domain: config.domain.clone(),
+        seeds: config.seeds.clone(),
+        core_size: config.core_size,
+        tolerated_failures: config.tolerated_failures,
+        may_found: config.may_found,
+        freshness_limit: Span::ms(config.freshness_limit_ms),
+        serving_lease: Span::ms(config.serving_lease_ms),
         policy: super::assemble::Policy::Move,
-        list: c.protocols.list.as_ref().map(|list| list.timing()),
-        protocols: c.protocols.clone(),
-        quota: c.quota,
+        list: config.protocols.list.as_ref().map(|list| list.timing()),
+        protocols: config.protocols.clone(),
+        quota: config.quota,
     }
 }
 
 /// Starts all parts of the process, waits for a signal to stop, and shuts down.
-async fn run(c: NodeConfig, source: SettingsSource) -> Result<(), Report<Fault>> {
+async fn run(config: NodeConfig, source: SettingsSource) -> Result<(), Report<Fault>> {
     let mut signals = Signals::catch();
-    let start = || Fault::new(Kind::Config, "start", "this node did not start", "mend the cause below");
-    let links_socket = bind(c.addr, "address").await.change_context_lazy(start)?;
-    let admin_socket = bind(c.admin, "admin").await.change_context_lazy(start)?;
-    let http_socket = match c.http {
+    let start = || Fault::new(Kind::Config, "start", "this node did not start", "fix the cause below");
+    let links_socket = bind(config.addr, "address").await.change_context_lazy(start)?;
+    let admin_socket = bind(config.admin, "admin").await.change_context_lazy(start)?;
+    let http_socket = match config.http {
         Some(a) => Some(bind(a, "http").await.change_context_lazy(start)?),
         None => None,
     };
     let (tx, rx) = mpsc::channel();
-    let file = c.data.as_ref().map(|dir| LogFile::open(dir));
+    let file = config.data.as_ref().map(|dir| LogFile::open(dir));
     let file = file.transpose().map_err(Report::new).change_context_lazy(start)?;
     let disk = file.map(|d| DiskWriter::start(Box::new(d), tx.clone()));
     let clock: Arc<dyn Clock> = Arc::new(BootClock);
     let services = Arc::new(Registry::default());
     let links = Links::new(tokio::runtime::Handle::current());
-    let table = Arc::new(match c.protocols.runner.plain_services_report() {
-        true => Table::new(c.domain.clone(), Span::ms(c.freshness_limit_ms)),
-        false => Table::bare(c.domain.clone(), Span::ms(c.freshness_limit_ms)),
+    let table = Arc::new(match config.protocols.runner.plain_services_report() {
+        true => Table::new(config.domain.clone(), Span::ms(config.freshness_limit_ms)),
+        false => Table::bare(config.domain.clone(), Span::ms(config.freshness_limit_ms)),
     });
     services.add(links.clone());
     services.add(table.clone());
@@ -115,22 +115,22 @@
     let node = NodeHandle { tx: tx.clone() };
     let routers = Arc::new(AtomicU64::new(1));
     let runners: Runners = Arc::default();
-    let fit = Arc::new(AtomicBool::new(false));
+    let is_ready = Arc::new(AtomicBool::new(false));
     let list = super::runner_list_poller::RunnerListPoller::new(
-        &c.protocols,
+        &config.protocols,
         pool.clone(),
         node.clone(),
         clock.clone(),
     );
     let departure: Arc<Mutex<Departure>> = Arc::default();
-    let flags = (&runners, &fit, &departure);
-    let act = act(&table, &clock, &pool, &node, &routers, flags, (&c.protocols, list));
-    let (spot, role, ticks) = (node_settings(&c), c.role, clock.clone());
+    let flags = (&runners, &is_ready, &departure);
+    let act = act(&table, &clock, &pool, &node, &routers, flags, (&config.protocols, list));
+    let (settings, role, ticks) = (node_settings(&config), config.role, clock.clone());
     let build = Box::new(move |records| {
         let now = ticks.now();
         match role {
-            Role::Router => (router(&spot, now, Box::new(OsRandom)), vec![]),
-            Role::Controller => controller(&spot, now, Box::new(OsRandom), records),
+            Role::Router => (router(&settings, now, Box::new(OsRandom)), vec![]),
+            Role::Controller => controller(&settings, now, Box::new(OsRandom), records),
         }
     });
     let sender = links.clone();
@@ -152,26 +152,33 @@
         open_requests: AtomicU64::new(0),
         recent: Default::default(),
         clients: ClientConnections::new(clock.clone()),
-        protocols: c.protocols.clone(),
+        protocols: config.protocols.clone(),
     });
-    super::status::serve_admin_api(&c, &node, &front, &links, (stopping.clone(), fit), admin_socket);
+    super::status::serve_admin_api(
+        &config,
+        &node,
+        &front,
+        &links,
+        (stopping.clone(), is_ready),
+        admin_socket,
+    );
     if let Some(socket) = http_socket {
         let (front, clients) = (front.clone(), front.clients.clone());
         let work = Arc::new(move |order| Box::pin(front.clone().answer(order)) as AnswerFuture);
         tokio::spawn(serve_clients(socket, work, clients));
     }
-    if c.role == Role::Router {
+    if config.role == Role::Router {
         router_tasks(&table, &clock, &node, &front, &routers);
     }
-    log::info!(event = "started", address = c.addr.to_string(), admin = c.admin.to_string(), domain = c.domain.to_string(), services = services.names().join(","); "");
-    tokio::spawn(super::reload::watch(source, c.clone(), node.clone(), signals.hang_up));
+    log::info!(event = "started", address = config.addr.to_string(), admin = config.admin.to_string(), domain = config.domain.to_string(), services = services.names().join(","); "");
+    tokio::spawn(super::reload::watch(source, config.clone(), node.clone(), signals.hang_up));
     tokio::select! {
         _ = signals.terminate.recv() => {}
         _ = signals.interrupt.recv() => {}
     }
     stopping.store(true, Ordering::SeqCst);
-    let (drain, lame) = (Span::ms(c.drain_ms), Duration::from_millis(c.lame_ms));
-    let stop = super::stop::Shutdown { role: c.role, drain, lame, front, table, clock, node, departure };
+    let (drain, lame) = (Span::ms(config.drain_ms), Duration::from_millis(config.lame_ms));
+    let stop = super::stop::Shutdown { role: config.role, drain, lame, front, table, clock, node, departure };
     stop.run().await;
     let _ = tx.send(Input::Stop);
     let _ = thread.join();
--- a/src/daemon/runner_calls.rs
+++ b/src/daemon/runner_calls.rs
@@ -32,14 +32,14 @@
     pool: &Pool,
     side: &dyn RunnerProtocol,
     clock: Arc<dyn Clock>,
-    o: &RunnerOrder,
+    order: &RunnerOrder,
 ) -> u16 {
-    let due = o.due;
+    let due = order.due;
     let check = Arc::new(move || clock.now() < due);
-    let call = side.order_request(o);
+    let call = side.order_request(order);
     let sent = call.headers().clone();
     let matches_request = |heads: &HeaderMap| side.may_answer(&sent, heads);
-    match pool.fetch_matching(o.runner.addr, call, CALL_TIMEOUT, check, matches_request).await {
+    match pool.fetch_matching(order.runner.addr, call, CALL_TIMEOUT, check, matches_request).await {
         Ok((status, _)) => status,
         Err(SendError::NotSent | SendError::RefusedByCheck) => 499,
         Err(SendError::MaybeSent) => 0,
--- a/src/daemon/runner_list_poller.rs
+++ b/src/daemon/runner_list_poller.rs
@@ -15,7 +15,7 @@
 /// The time limit of reading one page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The most pages of one reading.
-const PAGES_MAX: usize = 64;
+const MAX_PAGES: usize = 64;
 
 /// Reads the list of runners: periodically while this node holds the duty, otherwise on demand.
 pub struct RunnerListPoller {
@@ -81,7 +81,7 @@
     async fn read_all_pages(&self) -> Option<Vec<Runner>> {
         let mut all = Vec::new();
         let mut page = None;
-        for _ in 0..PAGES_MAX {
+        for _ in 0..MAX_PAGES {
             let call = self.side.ask(page.as_deref());
             let (status, body) =
                 self.pool.fetch(self.side.addr(), call, PAGE_TIMEOUT, always_allowed()).await.ok()?;
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -24,19 +24,19 @@
     socket: TcpListener,
 ) {
     let (role, service) = (config.role, front.clone());
-    let (stopping, fit) = flags;
+    let (stopping, is_ready) = flags;
     let ready = move || {
         if stopping.load(Ordering::SeqCst) {
             return Err("this node is stopping".to_string());
         }
         let fine = match role {
             Role::Router => service.table.fresh_routes(service.clock.now()).is_some(),
-            Role::Controller => fit.load(Ordering::SeqCst),
+            Role::Controller => is_ready.load(Ordering::SeqCst),
         };
         if fine {
             Ok(())
         } else {
-            Err("it could not yet prove its state current; check seeds and core".into())
+            Err("it could not yet prove that its state is current; check seeds and core".into())
         }
     };
     let (service, links) = (front.clone(), links.clone());
@@ -75,7 +75,7 @@
     out
 }
 
-/// The metrics of each service's gate.
+/// The metrics of each service's balancer.
 fn gate_metrics(table: &Table, now: Time) -> String {
     let mut out = String::new();
     for gate in table.gates() {
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -26,7 +26,7 @@
     pub lame: Duration,
     /// The service that answers clients.
     pub front: Arc<RequestService>,
-    /// The gates in which requests wait.
+    /// The balancers in which requests wait.
     pub table: Arc<Table>,
     /// The clock of the limits.
     pub clock: Arc<dyn Clock>,
--- a/src/http/admin.rs
+++ b/src/http/admin.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 /// The largest body of a call.
-const BODY_MAX_BYTES: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 
 /// The admin API of a node.
 pub struct AdminApi {
@@ -117,7 +117,7 @@
         let path = order.uri().path().trim_matches('/').to_string();
         let base = if_match_value(order.headers());
         let Some(name) = change_name(order.headers()) else {
-            let text = "X-Change-Id is no id; give up to 32 hexadecimal digits, or none";
+            let text = "X-Change-Id is not an id; give up to 32 hexadecimal digits, or none";
             return coded_answer(400, "bad-order", text, 0, "refused");
         };
         let method = order.method().clone();
@@ -127,8 +127,8 @@
             (&Method::GET, "v1/local") => return Response::new(full_body(self.node.status().await)),
             _ => {}
         }
-        let body = match Limited::new(order.into_body(), BODY_MAX_BYTES).collect().await {
-            Ok(b) => b.to_bytes().to_vec(),
+        let body = match Limited::new(order.into_body(), MAX_BODY_BYTES).collect().await {
+            Ok(body) => body.to_bytes().to_vec(),
             Err(_) => {
                 return coded_answer(
                     413,
@@ -179,9 +179,9 @@
     let ask = id;
     let base = match base {
         None => None,
-        Some(b) => Some(
-            Version::parse(b.trim_matches('"'))
-                .ok_or_else(|| bad_request("If-Match is no version; give one as shown by config"))?,
+        Some(base) => Some(
+            Version::parse(base.trim_matches('"'))
+                .ok_or_else(|| bad_request("If-Match is not a version; give one as shown by config"))?,
         ),
     };
     let tree = || Tree::parse(&text).map_err(|why| bad_request(&format!("{why}; send well-formed JSON")));
@@ -200,8 +200,8 @@
             let tree = tree()?;
             let rows = if let Tree::List(rows) = &tree { &rows[..] } else { tree.list("runners") };
             let mut list = Vec::new();
-            for t in rows {
-                list.push(Runner::read(t).map_err(|why| bad_request(&why))?);
+            for tree in rows {
+                list.push(Runner::read(tree).map_err(|why| bad_request(&why))?);
             }
             for (n, r) in list.iter().enumerate() {
                 if list[..n].iter().any(|o| o.instance == r.instance) {
@@ -214,11 +214,11 @@
         (&Method::POST, ["v1", "plan", "propose"]) => OperatorCall::ProposePlan,
         (&Method::POST, ["v1", "plan", "accept", at]) => match Version::parse(at) {
             Some(at) => OperatorCall::AcceptPlan(at),
-            None => return Err(bad_request("the plan's version is no version; give one as shown by plan")),
+            None => return Err(bad_request("the plan's version is malformed; give one as shown by plan")),
         },
         (&Method::POST, ["v1", "moves"]) => {
-            let t = tree()?;
-            let text = |k: &str| Name(t.text(k).unwrap_or("").to_string());
+            let tree = tree()?;
+            let text = |k: &str| Name(tree.text(k).unwrap_or("").to_string());
             OperatorCall::MoveModel {
                 service: text("service"),
                 model: text("model"),
--- a/src/http/answer.rs
+++ b/src/http/answer.rs
@@ -44,7 +44,7 @@
     coded_answer(408, "too-slow", "the request did not arrive within its time; send it again", 0, "refused")
 }
 
-/// The answer to a request that the gate refused, with `Retry-After` in the form of the client's protocol.
+/// The answer to a request that the balancer refused, with `Retry-After` in the form of the client's protocol.
 pub fn refusal_answer(side: &dyn CallerProtocol, r: &Refusal) -> Response<AnswerBody> {
     let mut out = coded_answer(r.status(), r.code(), r.text(), r.wait.0.div_ceil(1_000_000), "refused");
     if out.headers().contains_key("retry-after")
--- a/src/http/attempt.rs
+++ b/src/http/attempt.rs
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc;
 
 /// The largest answer that is buffered as a whole before it is passed on.
-const BUFFERED_ANSWER_MAX_BYTES: usize = 64 << 20;
+const MAX_BUFFERED_ANSWER_BYTES: usize = 64 << 20;
 
 /// Headers that concern one connection only (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
@@ -181,7 +181,7 @@
     let end = answer.end();
     let mut whole = None;
     if job.order.kind == RouteKind::Idempotent && !stream {
-        match answer.collect(BUFFERED_ANSWER_MAX_BYTES).await {
+        match answer.collect(MAX_BUFFERED_ANSWER_BYTES).await {
             Ok(body) => whole = Some(body),
             Err(BodyBroken) => return drop(report(In::Lost { attempt }).await),
         }
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 
 /// The most pieces that may be queued for the client's connection.
-const PIECES_MAX: usize = 32;
+const MAX_PIECES: usize = 32;
 
 enum Piece {
     Data(Bytes),
@@ -38,7 +38,7 @@
 
 /// Creates a body and returns its two ends.
 pub fn streamed() -> (BodyWriter, StreamedBody) {
-    let (pieces, received) = mpsc::channel(PIECES_MAX + 1);
+    let (pieces, received) = mpsc::channel(MAX_PIECES + 1);
     let end = pieces.clone().try_reserve_owned().unwrap_or_else(|_| unreachable!("a new channel has room"));
     (BodyWriter { pieces, end }, StreamedBody { pieces: received, ended: false })
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -11,7 +11,7 @@
 use std::task::{Context, Waker};
 
 /// The smallest read buffer that hyper accepts.
-const HEAD_BUFFER_MIN: usize = 8192;
+const MIN_HEAD_BUFFER: usize = 8192;
 /// Buffer space beyond the longest head, so that the exact limit is checked on the parsed head.
 const HEAD_BUFFER_SLACK: usize = 4096;
 
@@ -39,7 +39,7 @@
 pub struct ClientConnection {
     state: Mutex<State>,
     connections: Arc<ClientConnections>,
-    head_max_bytes: u64,
+    max_head_bytes: u64,
     socket: Mutex<Option<RawFd>>,
     ended_by_close: AtomicBool,
     is_broken: AtomicBool,
@@ -91,14 +91,14 @@
         let limits = self.limits();
         let phase = Phase::Idle { since: self.clock.now(), limit: Span::ms(limits.idle_ms) };
         let state = Mutex::new(State { phase, reader: None });
-        let head_max_bytes = limits.head_bytes;
+        let max_head_bytes = limits.head_bytes;
         let (ended_by_close, is_broken) = (AtomicBool::new(false), AtomicBool::new(false));
         let connections = self.clone();
         let socket = Mutex::default();
         let connection = Arc::new(ClientConnection {
             state,
             connections,
-            head_max_bytes,
+            max_head_bytes,
             socket,
             ended_by_close,
             is_broken,
@@ -123,12 +123,12 @@
 impl ClientConnection {
     /// The size of the read buffer for a request head on this connection, in bytes.
     pub fn head_buffer(&self) -> usize {
-        (self.head_max_bytes as usize).max(HEAD_BUFFER_MIN) + HEAD_BUFFER_SLACK
+        (self.max_head_bytes as usize).max(MIN_HEAD_BUFFER) + HEAD_BUFFER_SLACK
     }
 
     /// Whether the limit on heads has grown beyond this connection's read buffer.
     pub fn is_outgrown(&self) -> bool {
-        self.connections.limits.lock().unwrap().head_bytes > self.head_max_bytes
+        self.connections.limits.lock().unwrap().head_bytes > self.max_head_bytes
     }
 
     /// Records that a request head was read. False if the connection is over a limit and must not serve it.
--- a/src/http/client_stream.rs
+++ b/src/http/client_stream.rs
@@ -79,14 +79,14 @@
 
 impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        let me = self.get_mut();
-        if me.connection.poll_expired(cx) {
+        let stream = self.get_mut();
+        if stream.connection.poll_expired(cx) {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
-        let done = Pin::new(&mut me.tcp).poll_read(cx, buf);
+        let done = Pin::new(&mut stream.tcp).poll_read(cx, buf);
         if buf.filled().len() > before {
-            me.connection.bytes_received();
+            stream.connection.bytes_received();
         }
         done
     }
@@ -94,27 +94,27 @@
 
 impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let me = self.get_mut();
-        me.prepare_reset_on_close();
-        Pin::new(&mut me.tcp).poll_write(cx, buf)
+        let stream = self.get_mut();
+        stream.prepare_reset_on_close();
+        Pin::new(&mut stream.tcp).poll_write(cx, buf)
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        let me = self.get_mut();
-        let done = Pin::new(&mut me.tcp).poll_flush(cx);
+        let stream = self.get_mut();
+        let done = Pin::new(&mut stream.tcp).poll_flush(cx);
         if let Poll::Ready(Ok(())) = &done {
-            me.connection.socket_flushed();
+            stream.connection.socket_flushed();
         }
         done
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        let me = self.get_mut();
-        me.cancel_reset_on_close();
-        if let Poll::Ready(Err(fault)) = Pin::new(&mut me.tcp).poll_shutdown(cx) {
+        let stream = self.get_mut();
+        stream.cancel_reset_on_close();
+        if let Poll::Ready(Err(fault)) = Pin::new(&mut stream.tcp).poll_shutdown(cx) {
             return Poll::Ready(Err(fault));
         }
-        me.poll_linger(cx).map(Ok)
+        stream.poll_linger(cx).map(Ok)
     }
 
     fn poll_write_vectored(
@@ -122,9 +122,9 @@
         cx: &mut Context,
         rows: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        let me = self.get_mut();
-        me.prepare_reset_on_close();
-        Pin::new(&mut me.tcp).poll_write_vectored(cx, rows)
+        let stream = self.get_mut();
+        stream.prepare_reset_on_close();
+        Pin::new(&mut stream.tcp).poll_write_vectored(cx, rows)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/http/forward.rs
+++ b/src/http/forward.rs
@@ -24,7 +24,7 @@
 const TICK_PERIOD: Duration = Duration::from_millis(50);
 /// One request being forwarded. Dropping it cancels the request.
 pub struct Forwarder {
-    /// The gate of the request's service.
+    /// The balancer of the request's service.
     pub gate: Arc<Mutex<Gate>>,
     /// The connections to runners.
     pub pool: Arc<Pool>,
@@ -145,7 +145,7 @@
 }
 
 impl Drop for Forwarder {
-    /// Releases what an unfinished request holds: its place in the gate's queue, its slots and its attempts.
+    /// Releases what an unfinished request holds: its place in the balancer's queue, its slots and its attempts.
     fn drop(&mut self) {
         if !self.request.over
             && let Ok(mut gate) = self.gate.lock()
--- a/src/http/guard.rs
+++ b/src/http/guard.rs
@@ -73,8 +73,8 @@
 
     fn admit(&self) -> bool {
         let mut check = self.check.lock().unwrap();
-        if let Some(c) = check.take()
-            && !c()
+        if let Some(check) = check.take()
+            && !check()
         {
             self.refused.store(true, Ordering::SeqCst);
             return false;
--- a/src/http/native.rs
+++ b/src/http/native.rs
@@ -1,5 +1,5 @@
 //! The native protocol of clients and runners, which is in force unless the settings name another one (see
-//! [`crate::seam`]).
+//! [`crate::protocol`]).
 
 use crate::fleet::config::Route;
 use crate::fleet::runner::{Runner, RunnerReport};
@@ -53,7 +53,7 @@
             *to = match tree.get(key) {
                 Some(Tree::Text(t)) => t.as_str().into(),
                 None | Some(Tree::Null) => "".into(),
-                Some(_) => return Err("model, adapter and prefix must be texts"),
+                Some(_) => return Err("model, adapter and prefix must be strings"),
             };
         }
         if out.model.is_empty() {
@@ -72,12 +72,12 @@
 }
 
 /// A call to runner `r` with a JSON body.
-pub fn runner_call(method: &str, path: &str, r: &Runner, body: String) -> Call {
+pub fn runner_call(method: &str, path: &str, runner: &Runner, body: String) -> Call {
     Request::builder()
         .method(method)
         .uri(path)
-        .header("host", r.addr.to_string())
-        .header("x-target-instance", r.instance.0.as_str())
+        .header("host", runner.addr.to_string())
+        .header("x-target-instance", runner.instance.0.as_str())
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body)))
         .expect("a valid order")
@@ -125,16 +125,16 @@
         RunnerReport::read(&tree).filter(|rep| rep.instance == runner.instance)
     }
 
-    fn order_request(&self, o: &RunnerOrder) -> Call {
-        let kind = if o.adapter { "adapter" } else { "model" };
+    fn order_request(&self, order: &RunnerOrder) -> Call {
+        let kind = if order.adapter { "adapter" } else { "model" };
         let body = map(&[
-            ("order", o.order.to_string().into()),
-            ("term", o.term.0.into()),
-            ("name", o.name.0.as_str().into()),
+            ("order", order.order.to_string().into()),
+            ("term", order.term.0.into()),
+            ("name", order.name.0.as_str().into()),
             ("kind", kind.into()),
-            ("expected", o.expected.into()),
+            ("expected", order.expected.into()),
         ]);
-        let path = if o.load { "/spindle/load" } else { "/spindle/unload" };
-        runner_call("POST", path, &o.runner, body.to_string())
+        let path = if order.load { "/spindle/load" } else { "/spindle/unload" };
+        runner_call("POST", path, &order.runner, body.to_string())
     }
 }
--- a/src/http/pool.rs
+++ b/src/http/pool.rs
@@ -14,11 +14,11 @@
 use std::time::{Duration, Instant};
 
 /// The most idle connections kept for one address.
-const IDLE_PER_ADDRESS_MAX: usize = 64;
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 /// The most bytes that are read of an unwanted answer in order to reuse its connection.
-const DRAIN_MAX_BYTES: usize = 64 << 10;
+const MAX_DRAIN_BYTES: usize = 64 << 10;
 /// The largest answer that is read as a whole.
-const ANSWER_MAX_BYTES: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 /// How often expired idle connections are closed.
 const PRUNE_PERIOD: Duration = Duration::from_secs(1);
 
@@ -80,16 +80,16 @@
         let mut rows = self.rows.lock().unwrap();
         let old = rows.prune(Instant::now());
         let here = rows.idle.entry(addr).or_default();
-        if here.len() < IDLE_PER_ADDRESS_MAX {
+        if here.len() < MAX_IDLE_PER_ADDRESS {
             here.push(idle);
         }
         drop(rows);
         old.into_iter().for_each(IdleConnection::close);
     }
 
-    /// Reads the rest of an unwanted answer, up to `DRAIN_MAX_BYTES`, so that its connection can be reused.
+    /// Reads the rest of an unwanted answer, up to `MAX_DRAIN_BYTES`, so that its connection can be reused.
     pub async fn drain(&self, addr: SocketAddr, mut answer: RunnerAnswer) {
-        if answer.collect(DRAIN_MAX_BYTES).await.is_ok() {
+        if answer.collect(MAX_DRAIN_BYTES).await.is_ok() {
             self.keep_connection_of(addr, answer);
         }
     }
@@ -111,7 +111,7 @@
             };
             let Classified::Own(mut answer) = sent.judge(origin) else { return Err(SendError::MaybeSent) };
             let status = answer.status();
-            let body = answer.collect(ANSWER_MAX_BYTES).await.map_err(|BodyBroken| SendError::MaybeSent)?;
+            let body = answer.collect(MAX_ANSWER_BYTES).await.map_err(|BodyBroken| SendError::MaybeSent)?;
             self.keep_connection_of(addr, answer);
             Ok((status, body))
         };
--- a/src/http/quota.rs
+++ b/src/http/quota.rs
@@ -1,4 +1,4 @@
-//! Tenant quotas at admission: a request of a tenant with a quota takes a token before it enters the gate of its
+//! Tenant quotas at admission: a request of a tenant with a quota takes a token before it enters the balancer of its
 //! service.
 #![deny(missing_docs)]
 
--- a/src/http/recent_requests.rs
+++ b/src/http/recent_requests.rs
@@ -7,7 +7,7 @@
 use std::sync::Mutex;
 
 /// How many requests are kept.
-const RECENT_REQUESTS_MAX: usize = 256;
+const MAX_RECENT_REQUESTS: usize = 256;
 
 #[derive(Clone, Debug)]
 /// What is kept of one request.
@@ -44,7 +44,7 @@
             path: path.to_string(),
             body_kb: body_bytes.div_ceil(1024) as u64,
         });
-        if rows.len() > RECENT_REQUESTS_MAX {
+        if rows.len() > MAX_RECENT_REQUESTS {
             rows.pop_front();
         }
     }
--- a/src/http/request_service.rs
+++ b/src/http/request_service.rs
@@ -1,5 +1,5 @@
 //! Serves one request of a client: checks the limits, finds the route, admits the tenant, reads the body, takes a quota
-//! token, and forwards the request through the gate of its service ([`super::forward`]).
+//! token, and forwards the request through the balancer of its service ([`super::forward`]).
 
 use super::answer::{AnswerBody, coded_answer, refusal_answer, timeout_answer};
 use super::attempt::{ForwardedRequest, end_to_end};
@@ -25,7 +25,7 @@
 
 /// Serves the requests of clients. One per router.
 pub struct RequestService {
-    /// The routes in force and the gates of the services.
+    /// The routes in force and the balancers of the services.
     pub table: Arc<Table>,
     /// The connections to runners.
     pub pool: Arc<Pool>,
@@ -128,7 +128,7 @@
                 return coded_answer(
                     400,
                     "body-unread",
-                    "the body did not arrive whole; send it again",
+                    "the body did not arrive completely; send it again",
                     0,
                     "refused",
                 );
@@ -172,9 +172,13 @@
         });
         match rx.await {
             Ok(answer) => answer,
-            Err(_) => {
-                coded_answer(502, "outcome-unknown", "the order was dropped; it may have run", 0, "unknown")
-            }
+            Err(_) => coded_answer(
+                502,
+                "outcome-unknown",
+                "the request was dropped; it may have been executed",
+                0,
+                "unknown",
+            ),
         }
     }
 
--- a/src/json/read.rs
+++ b/src/json/read.rs
@@ -19,17 +19,17 @@
 impl<'a> Reader<'a> {
     /// Starts reading `tree` at `path`. It is a fault if it is no object or has a key twice.
     pub fn new(path: &str, tree: &'a Tree) -> Reader<'a> {
-        let mut r = Reader { path: path.to_string(), rows: &[], used: vec![], faults: vec![] };
+        let mut reader = Reader { path: path.to_string(), rows: &[], used: vec![], faults: vec![] };
         match tree {
-            Tree::Map(rows) => r.rows = rows,
-            _ => r.fault("", "is not an object", "write it as {\"key\": value}"),
+            Tree::Map(rows) => reader.rows = rows,
+            _ => reader.fault("", "is not an object", "write it as {\"key\": value}"),
         }
-        for (n, row) in r.rows.iter().enumerate() {
-            if r.rows[..n].iter().any(|old| old.0 == row.0) {
-                r.fault(&row.0, "is given twice", "keep one of the two");
+        for (n, row) in reader.rows.iter().enumerate() {
+            if reader.rows[..n].iter().any(|old| old.0 == row.0) {
+                reader.fault(&row.0, "is given twice", "keep one of the two");
             }
         }
-        r
+        reader
     }
 
     /// The place of the field `key`.
@@ -50,13 +50,13 @@
     /// The value of the field `key`, which counts as known from now on.
     pub fn take(&mut self, key: &'a str) -> Option<&'a Tree> {
         self.used.push(key);
-        self.rows.iter().find(|r| r.0 == key).map(|r| &r.1)
+        self.rows.iter().find(|row| row.0 == key).map(|row| &row.1)
     }
 
     /// A text of any length; required if there is no default.
-    pub fn text(&mut self, key: &'a str, dflt: Option<&str>) -> String {
-        match (self.take(key), dflt) {
-            (Some(Tree::Text(t)), _) => return t.clone(),
+    pub fn text(&mut self, key: &'a str, default: Option<&str>) -> String {
+        match (self.take(key), default) {
+            (Some(Tree::Text(text)), _) => return text.clone(),
             (Some(_), _) => self.fault(key, "is not a text", "put it in quotes"),
             (None, Some(d)) => return d.to_string(),
             (None, None) => self.fault(key, "is missing", "add it"),
@@ -65,15 +65,15 @@
     }
 
     /// A text of at most `LONGEST_TEXT` bytes without control characters.
-    pub fn line(&mut self, key: &'a str, dflt: Option<&str>) -> String {
-        let line = self.text(key, dflt);
+    pub fn line(&mut self, key: &'a str, default: Option<&str>) -> String {
+        let line = self.text(key, default);
         self.check_line(key, &line);
         line
     }
 
     /// A required line that is not empty, such as a name that other fields refer to.
     pub fn name(&mut self, key: &'a str) -> String {
-        let given = matches!(self.rows.iter().find(|r| r.0 == key), Some((_, Tree::Text(_))));
+        let given = matches!(self.rows.iter().find(|row| row.0 == key), Some((_, Tree::Text(_))));
         let name = self.line(key, None);
         if given && name.is_empty() {
             self.fault(key, "is empty", "give it a name");
@@ -97,13 +97,13 @@
     }
 
     /// A whole number from `low` to `high`; required if there is no default.
-    pub fn num(&mut self, key: &'a str, dflt: Option<u64>, low: u64, high: u64) -> u64 {
+    pub fn num(&mut self, key: &'a str, default: Option<u64>, low: u64, high: u64) -> u64 {
         let remedy = format!("give a whole number from {low} to {high}");
-        match (self.take(key), dflt) {
+        match (self.take(key), default) {
             (Some(Tree::Num(n)), _) if n.fract() == 0.0 && *n >= low as f64 && *n <= high as f64 => {
                 return *n as u64;
             }
-            (Some(t), _) => self.fault(key, &format!("is {t}"), &remedy),
+            (Some(value), _) => self.fault(key, &format!("is {value}"), &remedy),
             (None, Some(d)) => return d,
             (None, None) => self.fault(key, "is missing", &remedy),
         }
@@ -111,13 +111,13 @@
     }
 
     /// A boolean.
-    pub fn flag(&mut self, key: &'a str, dflt: bool) -> bool {
+    pub fn flag(&mut self, key: &'a str, default: bool) -> bool {
         match self.take(key) {
             Some(Tree::Bool(b)) => *b,
-            None => dflt,
+            None => default,
             Some(_) => {
                 self.fault(key, "is not true or false", "write true or false without quotes");
-                dflt
+                default
             }
         }
     }
@@ -139,12 +139,12 @@
         let mut out = Vec::new();
         for row in self.list(key) {
             match row {
-                Tree::Text(t) => {
-                    if t.is_empty() {
+                Tree::Text(text) => {
+                    if text.is_empty() {
                         self.fault(key, "holds an empty text", "remove it or give it a name");
                     }
-                    self.check_line(key, t);
-                    out.push(t.clone());
+                    self.check_line(key, text);
+                    out.push(text.clone());
                 }
                 _ => self.fault(key, "holds something that is not a text", "quote each entry"),
             }
@@ -153,10 +153,10 @@
     }
 
     /// One of the texts `may`.
-    pub fn one_of(&mut self, key: &'a str, dflt: &str, may: &[&str]) -> String {
-        let got = self.text(key, Some(dflt));
-        if !may.contains(&got.as_str()) {
-            let remedy = format!("use one of {}", may.join(", "));
+    pub fn one_of(&mut self, key: &'a str, default: &str, allowed: &[&str]) -> String {
+        let got = self.text(key, Some(default));
+        if !allowed.contains(&got.as_str()) {
+            let remedy = format!("use one of {}", allowed.join(", "));
             self.fault(key, &format!("is \"{}\"", got.escape_debug()), &remedy);
         }
         got
--- a/src/platform/caller.rs
+++ b/src/platform/caller.rs
@@ -8,7 +8,7 @@
 use hyper::header::HeaderMap;
 
 /// The least time that a client of a stream waits for the first event.
-const FIRST_EVENT_WAIT_MIN_MS: u64 = 2000;
+const MIN_FIRST_EVENT_WAIT_MS: u64 = 2000;
 
 /// The request header that carries a tenant's API key and nothing else.
 const KEY_HEADER: &str = "api-key";
@@ -48,7 +48,7 @@
         };
         if let Some(ms) = header_text(headers, "x-deadline-ms") {
             let Some(ms) = ms.parse::<f64>().ok().filter(|n| n.is_finite()) else {
-                return Err("X-Deadline-Ms is no number of milliseconds; send one");
+                return Err("X-Deadline-Ms is not a number of milliseconds; send one");
             };
             out.due = Some(Span((ms.max(0.0) * 1000.0) as u64));
         }
@@ -80,7 +80,7 @@
     }
 
     fn max_wait(&self, left: Span, route: &Route) -> Span {
-        let silence = Span::ms(FIRST_EVENT_WAIT_MIN_MS.max(route.aim_ms * 4).max(route.gap_ms * 8));
+        let silence = Span::ms(MIN_FIRST_EVENT_WAIT_MS.max(route.aim_ms * 4).max(route.gap_ms * 8));
         let most = if route.kind == RouteKind::Stream { left.min(silence) } else { left };
         Span(most.0 * 45 / 100)
     }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -21,9 +21,9 @@
 /// The factor that turns fractional weights into integers.
 const FRACTIONAL_WEIGHT_SCALE: f64 = 10_000.0;
 /// Larger weights are capped.
-const WEIGHT_MAX: f64 = 1e12;
+const MAX_WEIGHT: f64 = 1e12;
 /// The most adapters of one model.
-const ADAPTERS_MAX: f64 = 10_000.0;
+const MAX_ADAPTERS: f64 = 10_000.0;
 const REVISION: &str = "Revision";
 
 fn fault(place: impl Into<String>, what: impl Into<String>, remedy: &str) -> Fault {
@@ -69,7 +69,7 @@
         Some(n) => c.revision = n,
         None => faults.push(fault(
             REVISION,
-            "is no whole number up to 2^53",
+            "is not a whole number up to 2^53",
             "give a number above the current one",
         )),
     }
@@ -84,7 +84,7 @@
     }
     for key in REQUIRED_LISTS {
         if !matches!(tree.get(key), Some(Tree::List(_))) {
-            faults.push(fault(key, "is no list", "send the whole configuration"));
+            faults.push(fault(key, "is not a list", "send the whole configuration"));
         }
     }
     for t in tree.list("Backends") {
@@ -141,7 +141,7 @@
             let Some(name) = m.text("Name") else { continue };
             let num = |k: &str| m.float(k).unwrap_or(0.0);
             let load_ms = (num("LoadTimeS") * 1000.0) as u64;
-            if num("Adapters") > ADAPTERS_MAX {
+            if num("Adapters") > MAX_ADAPTERS {
                 faults.push(fault(format!("{name}.Adapters"), "is over 10000", "name fewer"));
                 continue;
             }
@@ -166,7 +166,7 @@
 
 /// The weight of a service within a route.
 fn weight(t: &Tree) -> f64 {
-    t.float("Weight").unwrap_or(0.0).min(WEIGHT_MAX)
+    t.float("Weight").unwrap_or(0.0).min(MAX_WEIGHT)
 }
 
 /// Reads one route and the service that it belongs to: the named one or, for a split, the one with the greatest weight.
--- a/src/platform/list.rs
+++ b/src/platform/list.rs
@@ -22,13 +22,13 @@
 }
 
 /// One entry of the list as a runner; `None` if it is incomplete.
-fn read_runner(t: &Tree) -> Option<Runner> {
+fn read_runner(tree: &Tree) -> Option<Runner> {
     Some(Runner {
-        instance: Name::from(t.text("Id")?),
-        service: Name::from(t.text("Backend")?),
-        domain: Name::from(t.text("Zone").unwrap_or("")),
-        addr: t.text("Address")?.parse().ok()?,
-        leaving: t.text("OperState") != Some("up"),
+        instance: Name::from(tree.text("Id")?),
+        service: Name::from(tree.text("Backend")?),
+        domain: Name::from(tree.text("Zone").unwrap_or("")),
+        addr: tree.text("Address")?.parse().ok()?,
+        leaving: tree.text("OperState") != Some("up"),
     })
 }
 
@@ -68,9 +68,9 @@
     }
 
     fn read(&self, body: &[u8]) -> Option<(Vec<Runner>, Option<String>)> {
-        let t = Tree::parse(std::str::from_utf8(body).ok()?).ok()?;
-        let Some(Tree::List(_)) = t.get("Instances") else { return None };
-        let rows = t.list("Instances").iter().filter_map(read_runner).collect();
-        Some((rows, t.text("NextToken").map(|p| p.to_string())))
+        let tree = Tree::parse(std::str::from_utf8(body).ok()?).ok()?;
+        let Some(Tree::List(_)) = tree.get("Instances") else { return None };
+        let rows = tree.list("Instances").iter().filter_map(read_runner).collect();
+        Some((rows, tree.text("NextToken").map(|p| p.to_string())))
     }
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -2,7 +2,7 @@
 //! the protocols of clients, runners and operators.
 //!
 //! The names that the platform gives to headers, fields and paths occur in this folder only. It implements the traits of
-//! [`crate::seam`] and is in force with `--platform`.
+//! [`crate::protocol`] and is in force with `--platform`.
 
 pub mod caller;
 pub mod config;
--- a/src/platform/runner.rs
+++ b/src/platform/runner.rs
@@ -19,7 +19,7 @@
 /// The header that names the tenant to a runner.
 const TENANT_HEADER: &str = "x-tenant";
 /// The least urgent priority class that a runner knows.
-const CLASS_MAX: u8 = 9;
+const MAX_CLASS: u8 = 9;
 /// How many priority classes one tenant rank spans: one for each class of routes.
 const CLASSES_PER_RANK: u8 = 4;
 
@@ -36,12 +36,12 @@
 }
 
 /// A call to runner `r` with a JSON body.
-fn runner_call(method: &str, path: &str, r: &Runner, body: String) -> Call {
+fn runner_call(method: &str, path: &str, runner: &Runner, body: String) -> Call {
     Request::builder()
         .method(method)
         .uri(path)
-        .header("host", r.addr.to_string())
-        .header("x-target-instance", r.instance.0.as_str())
+        .header("host", runner.addr.to_string())
+        .header("x-target-instance", runner.instance.0.as_str())
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body)))
         .expect("a valid call")
@@ -50,16 +50,16 @@
 /// The priority class of a request at its runner: by the rank of its tenant, then by the class of its route.
 fn priority_class(order: &Order) -> u8 {
     let first = order.rank.0.saturating_mul(CLASSES_PER_RANK);
-    first.saturating_add(order.class as u8).min(CLASS_MAX)
+    first.saturating_add(order.class as u8).min(MAX_CLASS)
 }
 
 /// The names of the models and adapters in the `Models` of a report or a list entry.
-pub fn held_names(t: &Tree) -> Vec<Name> {
+pub fn held_names(tree: &Tree) -> Vec<Name> {
     let mut out = Vec::new();
-    for m in t.list("Models") {
-        let Some(name) = m.text("Name") else { continue };
+    for model in tree.list("Models") {
+        let Some(name) = model.text("Name") else { continue };
         out.push(Name::from(name));
-        out.extend(m.texts("Adapters").iter().map(|a| adapter_name(name, a)));
+        out.extend(model.texts("Adapters").iter().map(|a| adapter_name(name, a)));
     }
     out
 }
@@ -121,7 +121,7 @@
 
     fn load(&self, headers: &HeaderMap) -> Option<Load> {
         let row = headers.get("x-server-load")?.to_str().ok()?;
-        let mut n = row.split(',').map(|t| t.trim().parse::<u64>().ok());
+        let mut n = row.split(',').map(|part| part.trim().parse::<u64>().ok());
         Some(Load { running: n.next()??, waiting: n.next()??, slots: n.next()?? })
     }
 
@@ -139,33 +139,33 @@
     }
 
     fn read_report(&self, runner: &Runner, body: &[u8]) -> Option<RunnerReport> {
-        let t = Tree::parse(std::str::from_utf8(body).ok()?).ok()?;
+        let tree = Tree::parse(std::str::from_utf8(body).ok()?).ok()?;
         Some(RunnerReport {
             instance: runner.instance.clone(),
-            leaving: t.text("OperState") == Some("draining") || t.get("RemainingMs").is_some(),
-            holds: held_names(&t),
-            running: t.num("Active")?,
-            waiting: t.num("Queued")?,
-            orders: t.num("Sequence").unwrap_or(0),
-            tokens: t.num("KvInUse").unwrap_or(0),
-            busy: t.flag("Utilization").unwrap_or(false),
+            leaving: tree.text("OperState") == Some("draining") || tree.get("RemainingMs").is_some(),
+            holds: held_names(&tree),
+            running: tree.num("Active")?,
+            waiting: tree.num("Queued")?,
+            orders: tree.num("Sequence").unwrap_or(0),
+            tokens: tree.num("KvInUse").unwrap_or(0),
+            busy: tree.flag("Utilization").unwrap_or(false),
             ..RunnerReport::default()
         })
     }
 
-    fn order_request(&self, o: &RunnerOrder) -> Call {
-        let opcode = if o.load { "install" } else { "uninstall" };
-        let (model, adapter) = match o.name.0.split_once('/') {
-            Some((m, a)) if o.adapter => (m, Some(a)),
-            _ => (o.name.0.as_str(), None),
+    fn order_request(&self, order: &RunnerOrder) -> Call {
+        let opcode = if order.load { "install" } else { "uninstall" };
+        let (model, adapter) = match order.name.0.split_once('/') {
+            Some((model, a)) if order.adapter => (model, Some(a)),
+            _ => (order.name.0.as_str(), None),
         };
         let mut rows = vec![("Opcode", opcode.into()), ("Model", model.into())];
         if let Some(a) = adapter {
             rows.push(("Adapter", a.into()));
         }
         rows.push(("Owner", self.node.as_str().into()));
-        rows.push(("FenceToken", o.term.0.into()));
-        rows.push(("ExpectedCount", o.expected.into()));
-        runner_call("POST", "/spindledock/order", &o.runner, map(&rows).to_string())
+        rows.push(("FenceToken", order.term.0.into()));
+        rows.push(("ExpectedCount", order.expected.into()));
+        runner_call("POST", "/spindledock/order", &order.runner, map(&rows).to_string())
     }
 }
