--- a/src/distribution/delta.rs
+++ b/src/distribution/delta.rs
@@ -83,8 +83,8 @@
 /// Builds the new list from the old one and the pieces; `None` if a piece exceeds the old list.
 fn join<T: Clone>(old: &[T], pieces: &[Piece<T>]) -> Option<Vec<T>> {
     let mut out = Vec::with_capacity(old.len());
-    for p in pieces {
-        match p {
+    for piece in pieces {
+        match piece {
             Piece::Keep { from, len } => out.extend_from_slice(old.get(*from..from.checked_add(*len)?)?),
             Piece::Put(list) => out.extend_from_slice(list),
         }
@@ -142,7 +142,7 @@
         services: diff(&old.config.services, &new.config.services, |s| by_name(&s.name)),
         runners: diff(&old.runners, &new.runners, |r| by_name(&r.instance)),
         moves: diff(&old.moves, &new.moves, |m| m.id.0),
-        plans: diff(&old.plans, &new.plans, |p| p.id.0),
+        plans: diff(&old.plans, &new.plans, |piece| piece.id.0),
     }
 }
 
--- a/src/distribution/history.rs
+++ b/src/distribution/history.rs
@@ -49,14 +49,14 @@
     /// Replaces the content with that of a newer version, and keeps the step to it. Without a step the
     /// older ones are dropped.
     pub fn advance(&mut self, at: Version, slice: Arc<Slice>) {
-        let raw = bitcode::encode(&*slice);
-        let (from, checksum) = (self.at, crc32fast::hash(&raw));
+        let encoded = bitcode::encode(&*slice);
+        let (from, checksum) = (self.at, crc32fast::hash(&encoded));
         let old = self.slice.as_ref().filter(|_| from < at);
         match old.and_then(|old| Delta::of(old, &slice)) {
             Some(delta) => self.push(DeltaStep { from, at, checksum, delta }),
             None => self.steps.clear(),
         }
-        (self.at, self.size, self.slice) = (at, raw.len(), Some(slice));
+        (self.at, self.size, self.slice) = (at, encoded.len(), Some(slice));
     }
 
     fn push(&mut self, step: DeltaStep) {
@@ -70,20 +70,20 @@
     /// Applies the steps that follow the current version; returns false, and changes nothing, if they don't
     /// fit or the checksum differs.
     pub fn apply_steps(&mut self, steps: &[Arc<DeltaStep>]) -> bool {
-        let first = steps.iter().position(|s| s.from == self.at);
+        let first = steps.iter().position(|step| step.from == self.at);
         let (Some(first), Some(old)) = (first, &self.slice) else { return false };
         let mut slice = Slice::clone(old);
         let mut at = self.at;
-        for s in &steps[first..] {
-            let Some(new) = s.delta.apply(&slice).filter(|_| s.from == at) else { return false };
-            (slice, at) = (new, s.at);
+        for step in &steps[first..] {
+            let Some(new) = step.delta.apply(&slice).filter(|_| step.from == at) else { return false };
+            (slice, at) = (new, step.at);
         }
-        let raw = bitcode::encode(&slice);
-        if steps.last().is_none_or(|s| s.checksum != crc32fast::hash(&raw)) {
+        let encoded = bitcode::encode(&slice);
+        if steps.last().is_none_or(|step| step.checksum != crc32fast::hash(&encoded)) {
             return false;
         }
-        steps[first..].iter().for_each(|s| self.push(DeltaStep::clone(s)));
-        (self.at, self.size, self.slice) = (at, raw.len(), Some(Arc::new(slice)));
+        steps[first..].iter().for_each(|step| self.push(DeltaStep::clone(step)));
+        (self.at, self.size, self.slice) = (at, encoded.len(), Some(Arc::new(slice)));
         true
     }
 
@@ -93,10 +93,10 @@
         if old == self.at && old > Version(0) {
             return UpdateBody::Same;
         }
-        let first = self.steps.iter().position(|s| s.0.from == old && old > Version(0));
+        let first = self.steps.iter().position(|step| step.0.from == old && old > Version(0));
         let steps = first.map(|n| self.steps.range(n..));
-        match steps.filter(|s| s.clone().map(|s| s.1).sum::<usize>() < self.size) {
-            Some(steps) => UpdateBody::Steps(steps.map(|s| s.0.clone()).collect()),
+        match steps.filter(|step| step.clone().map(|step| step.1).sum::<usize>() < self.size) {
+            Some(steps) => UpdateBody::Steps(steps.map(|step| step.0.clone()).collect()),
             None => UpdateBody::Whole(slice.clone()),
         }
     }
--- a/src/distribution/relay_node.rs
+++ b/src/distribution/relay_node.rs
@@ -29,9 +29,9 @@
 const IDLE_REQUEST_INTERVAL: Span = Span::ms(350);
 /// How long a change counts as recent.
 const RECENT_CHANGE: Span = Span::ms(2000);
-/// A topic without freshness_limit for this long is late; at most 35 % of the freshness limit.
+/// A topic that was not proven for this long is late; at most 35 % of the freshness limit.
 const LATE_AFTER: Span = Span::ms(700);
-/// A topic without freshness_limit for this long is asked for at other controllers; at most 60 % of the freshness
+/// Other controllers are asked for a topic that was not proven for this long; at most 60 % of the freshness
 /// limit.
 const LOST_AFTER: Span = Span::ms(1200);
 /// How long a topic is relayed after the last request for it.
@@ -78,10 +78,10 @@
 
     /// The routers of this zone that were heard of recently.
     fn zone_routers(&self, ctx: &Context) -> Vec<NodeId> {
-        let rows = ctx.views.members.iter().filter(|r| {
-            r.who.role == Role::Router && r.who.domain == ctx.me.domain && r.silence < QUIET_AFTER
+        let rows = ctx.views.members.iter().filter(|row| {
+            row.who.role == Role::Router && row.who.domain == ctx.me.domain && row.silence < QUIET_AFTER
         });
-        rows.map(|r| r.who.node).collect()
+        rows.map(|row| row.who.node).collect()
     }
 
     fn request(&mut self, to: NodeId, direct: bool, have: Vec<(Scope, Version)>, ctx: &mut Context) {
@@ -149,7 +149,7 @@
         ctx: &mut Context,
     ) {
         let all: Vec<NodeId> =
-            ctx.views.controllers().map(|r| r.who.node).filter(|n| Some(*n) != tail).collect();
+            ctx.views.controllers().map(|row| row.who.node).filter(|n| Some(*n) != tail).collect();
         if all.is_empty() {
             return;
         }
@@ -180,24 +180,24 @@
     /// Passes changes on: to the router, to subscribers, and to the serving lease.
     fn publish(&mut self, rows: Vec<TopicChange>, ctx: &mut Context) {
         let mut pushes: BTreeMap<NodeId, Vec<TopicUpdate>> = BTreeMap::new();
-        for l in rows {
-            if let Some(Slice::Routes(routes)) = &l.slice {
-                for r in &routes.rows {
-                    for scope in r.scopes() {
+        for change in rows {
+            if let Some(Slice::Routes(routes)) = &change.slice {
+                for row in &routes.rows {
+                    for scope in row.scopes() {
                         self.reader.topics.entry(scope).or_default();
                     }
                 }
             }
-            if l.slice.is_some() {
+            if change.slice.is_some() {
                 self.changed_at = ctx.now;
-                ctx.log_event("distribution", format!("{} {}", scope_name(&l.scope), l.at));
-                if let Some(topic) = self.reader.topics.get(&l.scope) {
-                    for (to, item) in self.subscribers.take_updates(&l.scope, &topic.history, ctx.now) {
+                ctx.log_event("distribution", format!("{} {}", scope_name(&change.scope), change.at));
+                if let Some(topic) = self.reader.topics.get(&change.scope) {
+                    for (to, item) in self.subscribers.take_updates(&change.scope, &topic.history, ctx.now) {
                         pushes.entry(to).or_default().push(item);
                     }
                 }
             }
-            let TopicChange { scope, at, slice, proven } = l;
+            let TopicChange { scope, at, slice, proven } = change;
             ctx.effects.push(Effect::Topic { scope, at, slice, proven });
         }
         for (to, items) in pushes {
--- a/src/fleet/check.rs
+++ b/src/fleet/check.rs
@@ -5,95 +5,107 @@
 use std::collections::BTreeSet;
 
 /// All faults that show only between the parts of a configuration.
-pub fn check(c: &FleetConfig) -> Vec<Fault> {
-    let mut bad = Vec::new();
-    let mut say = |place: String, what: String, remedy: &str| {
-        bad.push(Fault::new(Kind::Config, place, what, remedy));
+pub fn check(config: &FleetConfig) -> Vec<Fault> {
+    let mut faults = Vec::new();
+    let mut report = |place: String, what: String, remedy: &str| {
+        faults.push(Fault::new(Kind::Config, place, what, remedy));
     };
-    if c.moving.warm.tries <= c.moving.rounds {
+    if config.moving.warm.tries <= config.moving.rounds {
         let what = format!(
             "{} is less than one stream's {} rounds and its cut",
-            c.moving.warm.tries, c.moving.rounds
+            config.moving.warm.tries, config.moving.rounds
         );
-        say("moving.warm.tries".into(), what, "allow more tries or fewer rounds");
+        report("moving.warm.tries".into(), what, "allow more tries or fewer rounds");
     }
-    let mut seen = BTreeSet::new();
-    for (n, m) in c.models.iter().enumerate() {
-        if !seen.insert(m.name.clone()) {
-            say(format!("models[{n}].name"), format!("\"{}\" is given twice", m.name), "rename or drop one");
+    let mut names = BTreeSet::new();
+    for (index, model) in config.models.iter().enumerate() {
+        if !names.insert(model.name.clone()) {
+            report(
+                format!("models[{index}].name"),
+                format!("\"{}\" is given twice", model.name),
+                "rename or drop one",
+            );
         }
     }
-    for (n, a) in c.adapters.iter().enumerate() {
-        if !seen.insert(a.name.clone()) {
-            say(
-                format!("adapters[{n}].name"),
-                format!("\"{}\" is given twice", a.name),
+    for (index, adapter) in config.adapters.iter().enumerate() {
+        if !names.insert(adapter.name.clone()) {
+            report(
+                format!("adapters[{index}].name"),
+                format!("\"{}\" is given twice", adapter.name),
                 "rename or drop one",
             );
         }
-        if c.model(&a.model).is_none() {
-            say(format!("adapters[{n}].model"), format!("\"{}\" is unknown", a.model), "add it to models");
+        if config.model(&adapter.model).is_none() {
+            report(
+                format!("adapters[{index}].model"),
+                format!("\"{}\" is unknown", adapter.model),
+                "add it to models",
+            );
         }
     }
-    let mut names = BTreeSet::new();
-    let mut routes = BTreeSet::new();
-    for (n, s) in c.services.iter().enumerate() {
-        let path = format!("services[{n}]");
-        if !names.insert(s.name.clone()) {
-            say(format!("{path}.name"), format!("\"{}\" is given twice", s.name), "rename or drop one");
+    let mut service_names = BTreeSet::new();
+    let mut known_routes = BTreeSet::new();
+    for (index, service) in config.services.iter().enumerate() {
+        let path = format!("services[{index}]");
+        if !service_names.insert(service.name.clone()) {
+            report(
+                format!("{path}.name"),
+                format!("\"{}\" is given twice", service.name),
+                "rename or drop one",
+            );
         }
-        if s.sort == ServiceKind::Plain && !(s.models.is_empty() && s.adapters.is_empty()) {
-            say(path.clone(), "a plain service lists models".into(), "set sort to assistant or drop them");
+        if service.sort == ServiceKind::Plain && !(service.models.is_empty() && service.adapters.is_empty()) {
+            report(path.clone(), "a plain service lists models".into(), "set sort to assistant or drop them");
         }
-        if s.sort == ServiceKind::Assistant && s.models.is_empty() {
-            say(format!("{path}.models"), "is empty".into(), "name at least one model");
+        if service.sort == ServiceKind::Assistant && service.models.is_empty() {
+            report(format!("{path}.models"), "is empty".into(), "name at least one model");
         }
-        let mut twice = BTreeSet::new();
-        for m in s.models.iter().chain(&s.adapters) {
-            if !twice.insert(m.clone()) {
-                say(path.clone(), format!("\"{m}\" is listed twice"), "keep one");
+        let mut listed = BTreeSet::new();
+        for model in service.models.iter().chain(&service.adapters) {
+            if !listed.insert(model.clone()) {
+                report(path.clone(), format!("\"{model}\" is listed twice"), "keep one");
             }
         }
-        for m in s.models.iter().filter(|m| c.model(m).is_none()) {
-            say(format!("{path}.models"), format!("\"{m}\" is unknown"), "add it to models");
+        for model in service.models.iter().filter(|model| config.model(model).is_none()) {
+            report(format!("{path}.models"), format!("\"{model}\" is unknown"), "add it to models");
         }
-        for a in &s.adapters {
-            let Some(row) = c.adapter(a) else {
-                say(format!("{path}.adapters"), format!("\"{a}\" is unknown"), "add it to adapters");
+        for adapter in &service.adapters {
+            let Some(found) = config.adapter(adapter) else {
+                report(format!("{path}.adapters"), format!("\"{adapter}\" is unknown"), "add it to adapters");
                 continue;
             };
-            if !s.models.contains(&row.model) {
-                let what = format!("\"{a}\" needs model \"{}\"", row.model);
-                say(format!("{path}.adapters"), what, "list that model too");
+            if !service.models.contains(&found.model) {
+                let what = format!("\"{adapter}\" needs model \"{}\"", found.model);
+                report(format!("{path}.adapters"), what, "list that model too");
             }
         }
-        for (k, r) in s.routes.iter().enumerate() {
-            if !r.split.is_empty() && r.split.iter().all(|w| w.weight == 0) {
-                say(
-                    format!("{path}.routes[{k}].split"),
+        for (route_index, route) in service.routes.iter().enumerate() {
+            if !route.split.is_empty() && route.split.iter().all(|share| share.weight == 0) {
+                report(
+                    format!("{path}.routes[{route_index}].split"),
                     "weighs nothing".into(),
                     "give one a weight above 0",
                 );
             }
-            for w in r.split.iter().filter(|w| c.service(&w.service).is_none()) {
-                let what = format!("\"{}\" is unknown", w.service);
-                say(format!("{path}.routes[{k}].split"), what, "name a service listed here");
+            for share in route.split.iter().filter(|share| config.service(&share.service).is_none()) {
+                let what = format!("\"{}\" is unknown", share.service);
+                report(format!("{path}.routes[{route_index}].split"), what, "name a service listed here");
             }
-            if !routes.insert((r.host.clone(), r.prefix.clone())) {
-                let what = format!("\"{}{}\" is given twice", r.host, r.prefix);
-                say(format!("{path}.routes[{k}]"), what, "drop one of the two");
+            if !known_routes.insert((route.host.clone(), route.prefix.clone())) {
+                let what = format!("\"{}{}\" is given twice", route.host, route.prefix);
+                report(format!("{path}.routes[{route_index}]"), what, "drop one of the two");
             }
         }
     }
-    for (n, s) in c.rollout.samples.iter().enumerate() {
-        let place = format!("rollout.samples[{n}]");
-        let Some(row) = c.service(&s.service) else {
-            say(place, format!("service \"{}\" is unknown", s.service), "name a service listed here");
+    for (index, sample) in config.rollout.samples.iter().enumerate() {
+        let place = format!("rollout.samples[{index}]");
+        let Some(found) = config.service(&sample.service) else {
+            report(place, format!("service \"{}\" is unknown", sample.service), "name a service listed here");
             continue;
         };
-        if row.sort == ServiceKind::Assistant && !row.models.contains(&s.model) {
-            say(place, format!("model \"{}\" is unknown there", s.model), "name one of its models");
+        if found.sort == ServiceKind::Assistant && !found.models.contains(&sample.model) {
+            report(place, format!("model \"{}\" is unknown there", sample.model), "name one of its models");
         }
     }
-    bad
+    faults
 }
--- a/src/fleet/plan.rs
+++ b/src/fleet/plan.rs
@@ -17,6 +17,7 @@
     Move { id: MoveId, service: Name, model: Name, from: Name, to: Name, want: Name },
 }
 
+/// A stage of a plan: steps that are taken at the same time.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct PlanStage {
     /// Its name.
--- a/src/fleet/runner.rs
+++ b/src/fleet/runner.rs
@@ -26,15 +26,15 @@
     /// # Errors
     ///
     /// A text that names what is missing or malformed.
-    pub fn read(t: &Tree) -> Result<Runner, String> {
-        let text = |k: &str| t.text(k).map(|s| s.to_string());
+    pub fn read(tree: &Tree) -> Result<Runner, String> {
+        let text = |k: &str| tree.text(k).map(|s| s.to_string());
         let instance = text("instance").ok_or("instance is missing; name the runner's instance")?;
         let service = text("service").ok_or(format!("{instance}: service is missing; name its service"))?;
         let raw = text("address").ok_or(format!("{instance}: address is missing; give IP:port"))?;
         let addr =
             raw.parse().map_err(|_| format!("{instance}: address \"{raw}\" is not IP:port; give one"))?;
         let domain = Name(text("domain").or(text("zone")).unwrap_or_default());
-        let leaving = t.flag("leaving").unwrap_or(false);
+        let leaving = tree.flag("leaving").unwrap_or(false);
         Ok(Runner { instance: Name(instance), service: Name(service), domain, addr, leaving })
     }
 
@@ -89,26 +89,26 @@
 
 impl RunnerReport {
     /// Reads a report; `None` if a required field is missing.
-    pub fn read(t: &Tree) -> Option<RunnerReport> {
-        let all = |k: &str| t.texts(k).into_iter().map(Name).collect::<Vec<_>>();
-        let runs = t.list("runs").iter();
+    pub fn read(tree: &Tree) -> Option<RunnerReport> {
+        let all = |k: &str| tree.texts(k).into_iter().map(Name).collect::<Vec<_>>();
+        let runs = tree.list("runs").iter();
         Some(RunnerReport {
-            instance: Name(t.text("instance")?.to_string()),
-            leaving: t.text("state") == Some("leaving"),
-            room_mb: t.num("room_mb")?,
-            used_mb: t.num("used_mb")?,
-            adapter_room: t.num("adapter_room").unwrap_or(0),
+            instance: Name(tree.text("instance")?.to_string()),
+            leaving: tree.text("state") == Some("leaving"),
+            room_mb: tree.num("room_mb")?,
+            used_mb: tree.num("used_mb")?,
+            adapter_room: tree.num("adapter_room").unwrap_or(0),
             holds: all("holds"),
             loading: all("loading"),
-            prefixes: t.texts("prefixes"),
-            running: t.num("running")?,
-            waiting: t.num("waiting")?,
+            prefixes: tree.texts("prefixes"),
+            running: tree.num("running")?,
+            waiting: tree.num("waiting")?,
             runs: runs.filter_map(|r| Some((Name(r.text("model")?.into()), r.num("count")?))).collect(),
-            slots: t.num("slots").unwrap_or(8),
-            term: t.num("term").unwrap_or(0),
-            orders: t.num("orders").unwrap_or(0),
-            tokens: t.num("tokens").unwrap_or(0),
-            busy: t.flag("busy").unwrap_or(false),
+            slots: tree.num("slots").unwrap_or(8),
+            term: tree.num("term").unwrap_or(0),
+            orders: tree.num("orders").unwrap_or(0),
+            tokens: tree.num("tokens").unwrap_or(0),
+            busy: tree.flag("busy").unwrap_or(false),
         })
     }
 
--- a/src/fleet/slice.rs
+++ b/src/fleet/slice.rs
@@ -134,9 +134,9 @@
 }
 
 /// All routes, longest prefix first, and at equal length those that name a host first.
-pub fn route_rows(c: &FleetConfig) -> Vec<RouteRow> {
+pub fn route_rows(config: &FleetConfig) -> Vec<RouteRow> {
     let mut rows = Vec::new();
-    for s in &c.services {
+    for s in &config.services {
         rows.extend(s.routes.iter().map(|r| RouteRow { service: s.name.clone(), route: r.clone() }));
     }
     rows.sort_by_key(|r| (std::cmp::Reverse(r.route.prefix.len()), r.route.host.is_empty()));
@@ -144,19 +144,19 @@
 }
 
 /// The part of a service's slice that comes from the configuration; runners, moves and term are empty.
-pub fn service_slice(c: &FleetConfig, service: &Service) -> ServiceSlice {
+pub fn service_slice(config: &FleetConfig, service: &Service) -> ServiceSlice {
     ServiceSlice {
         config_version: Version(0),
         service: service.clone(),
-        models: c.models.iter().filter(|m| service.models.contains(&m.name)).cloned().collect(),
-        store: c.store.clone(),
-        adapters: c.adapters.iter().filter(|a| service.adapters.contains(&a.name)).cloned().collect(),
-        budget: c.budget.clone(),
-        moving: c.moving.clone(),
+        models: config.models.iter().filter(|m| service.models.contains(&m.name)).cloned().collect(),
+        store: config.store.clone(),
+        adapters: config.adapters.iter().filter(|a| service.adapters.contains(&a.name)).cloned().collect(),
+        budget: config.budget.clone(),
+        moving: config.moving.clone(),
         runners: Vec::new(),
         moves: Vec::new(),
         duty: Term(0),
-        limits: c.limits.clone(),
+        limits: config.limits.clone(),
     }
 }
 
--- a/src/fleet/tenant_format.rs
+++ b/src/fleet/tenant_format.rs
@@ -18,7 +18,7 @@
 const PRIORITY_MOST: u64 = 255;
 
 /// Reads one tenant of the list, and adds its faults to `bad`.
-pub fn read(place: usize, tree: &Tree, bad: &mut Vec<Fault>) -> Tenant {
+pub fn read(place: usize, tree: &Tree, faults: &mut Vec<Fault>) -> Tenant {
     let mut reader = Reader::new(&format!("tenants[{place}]"), tree);
     let name = Name(reader.name("name"));
     let texts = reader.texts("keys");
@@ -36,7 +36,7 @@
             None => reader.fault("keys", "has a key that is empty or no digest", "write the key itself"),
         }
     }
-    bad.extend(reader.done());
+    faults.extend(reader.done());
     let quota = (rate_milli > 0).then_some(QuotaLimit { rate_milli, burst });
     Tenant { name, keys, priority: has_priority.then_some(priority), quota }
 }
@@ -50,21 +50,21 @@
 
 /// Faults that show only between tenants.
 pub fn check(tenants: &[Tenant]) -> Vec<Fault> {
-    let mut bad = Vec::new();
+    let mut faults = Vec::new();
     let mut names = BTreeSet::new();
     let mut keys = BTreeSet::new();
     for (place, tenant) in tenants.iter().enumerate() {
-        let mut say = |field: &str, what: &str, remedy: &str| {
-            bad.push(Fault::new(Kind::Config, format!("tenants[{place}].{field}"), what, remedy));
+        let mut report = |field: &str, what: &str, remedy: &str| {
+            faults.push(Fault::new(Kind::Config, format!("tenants[{place}].{field}"), what, remedy));
         };
         if !names.insert(&tenant.name) {
-            say("name", "is given twice", "rename or drop one");
+            report("name", "is given twice", "rename or drop one");
         }
         if tenant.keys.iter().any(|key| !keys.insert(*key)) {
-            say("keys", "holds a key that is given twice", "give each key once, to one tenant");
+            report("keys", "holds a key that is given twice", "give each key once, to one tenant");
         }
     }
-    bad
+    faults
 }
 
 impl Tenant {
--- a/src/kernel/hold.rs
+++ b/src/kernel/hold.rs
@@ -53,8 +53,8 @@
     /// saves anything.
     pub fn submit(&mut self, now: Time, effects: Vec<Effect>) -> (Vec<Effect>, Option<WriteBatch>) {
         let (mut writes, mut others) = (Vec::new(), Vec::new());
-        for e in effects {
-            match e {
+        for effect in effects {
+            match effect {
                 Effect::Save(record) => writes.push(DiskWrite::Append(record)),
                 Effect::Rewrite(all) => writes.push(DiskWrite::Rewrite(all)),
                 other => others.push(other),
@@ -74,13 +74,13 @@
         if self.queue.is_empty() {
             return (others, batch);
         }
-        let (stuck, sets_fleet) = (self.is_stuck(now), self.queue.iter().any(|h| h.sets_fleet));
+        let (stuck, sets_fleet) = (self.is_stuck(now), self.queue.iter().any(|delayed| delayed.sets_fleet));
         let mut released = Vec::new();
-        for e in others {
-            if needs_no_sync(&e, sets_fleet) || (stuck && needs_no_disk(&e)) {
-                released.push(e);
-            } else if let (false, Some(last)) = (stuck && is_message(&e), self.queue.back_mut()) {
-                last.waiting.push(e);
+        for effect in others {
+            if needs_no_sync(&effect, sets_fleet) || (stuck && needs_no_disk(&effect)) {
+                released.push(effect);
+            } else if let (false, Some(last)) = (stuck && is_message(&effect), self.queue.back_mut()) {
+                last.waiting.push(effect);
             }
         }
         (released, batch)
@@ -93,15 +93,15 @@
         if up_to > 0 {
             self.was_slow = self.is_stuck(now);
         }
-        while self.queue.front().is_some_and(|h| h.number <= up_to) {
-            out.extend(self.queue.pop_front().map(|h| h.waiting).unwrap_or_default());
+        while self.queue.front().is_some_and(|delayed| delayed.number <= up_to) {
+            out.extend(self.queue.pop_front().map(|delayed| delayed.waiting).unwrap_or_default());
         }
         out
     }
 
     /// Whether the oldest write takes too long.
     pub fn is_stuck(&self, now: Time) -> bool {
-        self.queue.front().is_some_and(|h| now.since(h.submitted_at) >= STUCK_AFTER)
+        self.queue.front().is_some_and(|delayed| now.since(delayed.submitted_at) >= STUCK_AFTER)
     }
 
     /// Whether a write takes too long, or the last one to be synced did.
@@ -117,8 +117,8 @@
 
 /// Whether the effect may leave before any write is synced. A call that is passed on may not while the
 /// node's fleet is not durable.
-fn needs_no_sync(e: &Effect, sets_fleet: bool) -> bool {
-    match e {
+fn needs_no_sync(effect: &Effect, sets_fleet: bool) -> bool {
+    match effect {
         Effect::Answer { .. } | Effect::Ready(_) | Effect::RouterCount(_) | Effect::PollRunners(_) => true,
         Effect::Reset(_) | Effect::OrderRunner(_) => true,
         Effect::Send { msg: Msg::OperatorCall { .. } | Msg::ReadCall { .. }, .. } => !sets_fleet,
@@ -129,8 +129,8 @@
 /// Whether the message says nothing about what is on this node's disk, so that it leaves even while a write
 /// hangs. A lease is granted from the voter's memory alone: after a restart the voter waits for longer than
 /// any grant lasts before it votes.
-fn needs_no_disk(e: &Effect) -> bool {
-    let Effect::Send { msg: Msg::Chain(msg), .. } = e else { return false };
+fn needs_no_disk(effect: &Effect) -> bool {
+    let Effect::Send { msg: Msg::Chain(msg), .. } = effect else { return false };
     matches!(
         msg,
         ChainMsg::Heartbeat { .. }
@@ -141,8 +141,8 @@
     )
 }
 
-fn is_message(e: &Effect) -> bool {
-    matches!(e, Effect::Send { .. } | Effect::SendAt { .. })
+fn is_message(effect: &Effect) -> bool {
+    matches!(effect, Effect::Send { .. } | Effect::SendAt { .. })
 }
 
 /// Performs the writes in order; those before the last rewrite are skipped, because it replaces them.
@@ -151,14 +151,15 @@
 ///
 /// The fault of the disk; some of the writes may have been made.
 pub fn write_batch(disk: &mut dyn Disk, writes: &[DiskWrite]) -> Result<(), Fault> {
-    let from = writes.iter().rposition(|r| matches!(r, DiskWrite::Rewrite(_)));
-    if let Some(DiskWrite::Rewrite(all)) = from.and_then(|k| writes.get(k)) {
+    let last_rewrite = writes.iter().rposition(|write| matches!(write, DiskWrite::Rewrite(_)));
+    if let Some(DiskWrite::Rewrite(all)) = last_rewrite.and_then(|index| writes.get(index)) {
         disk.rewrite(all)?;
     }
-    let adds = writes.iter().skip(from.map_or(0, |k| k + 1)).filter_map(|r| match r {
-        DiskWrite::Append(record) => Some(record.clone()),
-        DiskWrite::Rewrite(_) => None,
-    });
+    let adds =
+        writes.iter().skip(last_rewrite.map_or(0, |index| index + 1)).filter_map(|write| match write {
+            DiskWrite::Append(record) => Some(record.clone()),
+            DiskWrite::Rewrite(_) => None,
+        });
     let adds: Vec<Record> = adds.collect();
     if adds.is_empty() { Ok(()) } else { disk.add(&adds) }
 }
--- a/src/kernel/node.rs
+++ b/src/kernel/node.rs
@@ -56,29 +56,29 @@
 
     /// The component of this name.
     pub fn find(&self, name: &str) -> Option<&dyn Component> {
-        self.components.iter().find(|p| p.name() == name).map(|p| &**p)
+        self.components.iter().find(|component| component.name() == name).map(|component| &**component)
     }
 
     /// The status of all components: component, key and value.
     pub fn status(&self, now: Time) -> Vec<(&'static str, &'static str, String)> {
         let mut rows = Vec::new();
-        for p in &self.components {
-            rows.extend(p.status(now).into_iter().map(|(k, v)| (p.name(), k, v)));
+        for component in &self.components {
+            rows.extend(component.status(now).into_iter().map(|(k, v)| (component.name(), k, v)));
         }
         rows
     }
 
     /// Handles an event, and all events that the components publish in response, and returns the effects.
-    pub fn feed(&mut self, now: Time, ev: Event) -> Vec<Effect> {
-        let kind = ev.kind();
+    pub fn feed(&mut self, now: Time, event: Event) -> Vec<Effect> {
+        let kind = event.kind();
         if let Some(times) = &mut self.step_times {
             times.begin();
         }
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         let mut events: VecDeque<JournalEvent> = VecDeque::new();
-        let mut next = Some(ev);
-        while let Some(ev) = next {
-            for p in &mut self.components {
+        let mut next = Some(event);
+        while let Some(event) = next {
+            for component in &mut self.components {
                 let mut ctx = Context {
                     now,
                     me: &self.me,
@@ -89,11 +89,11 @@
                     views: &mut self.views,
                     journal: &mut self.journal,
                     events: &mut events,
-                    effects: &mut out,
+                    effects: &mut effects,
                 };
-                p.on(&ev, &mut ctx);
+                component.on(&event, &mut ctx);
                 if let Some(times) = &mut self.step_times {
-                    times.component(p.name());
+                    times.component(component.name());
                 }
             }
             next = events.pop_front().map(Event::Journal);
@@ -101,6 +101,6 @@
         if let Some(times) = &mut self.step_times {
             times.end(kind);
         }
-        out
+        effects
     }
 }
