--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -94,7 +94,7 @@
 journal-state|src/kernel/journal.rs|if carries_state\(&note\)|if false|storm catches_up
 snapshot-back|src/chain/join.rs|pred != Some\(from\) \|\| at <= self.log.last\(\)|pred != Some(from) \|\| at <= self.committed|snapshot comes_late
 lost-tail-reset|src/chain/replicate.rs|if synced > self.log.last\(\) \{|if false {|snapshot resets_and_joins
-stuck-grants|src/kernel/hold.rs|\|\| \(stuck && needs_no_disk\(&e\)\)||hold leave_at_once
+stuck-grants|src/kernel/hold.rs|\|\| \(stuck && needs_no_disk\(&effect\)\)||hold leave_at_once
 sync-reachable|src/membership/exchange.rs|let reached = self.table.rows.contains_key\(&from\);|let reached = true;|membership can_be_reached_is_asked
 name-itself|src/membership/exchange.rs|if !answers && rows|if false && rows|membership says_who_sends_it
 want-order|src/placement/wanted_names.rs|\* self.waiting_requests\(\) \* weight|* weight|wants goes_ahead_of_them
