--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -1,5 +1,5 @@
 use crate::fleet::runner::{Runner, RunnerReport};
-use crate::gate::Table;
+use crate::gate::BalancerTable;
 use crate::http::connection::SendError;
 use crate::http::pool::{Pool, open};
 use crate::kernel::time::Clock;
@@ -37,7 +37,7 @@
 }
 
 pub async fn tells(
-    table: Arc<Table>,
+    table: Arc<BalancerTable>,
     clock: Arc<dyn Clock>,
     seen: Arc<dyn Fn() -> Vec<crate::http::sender::Kept> + Send + Sync>,
     hand: super::input::Hand,
@@ -47,12 +47,12 @@
     let mut rounds = 0u64;
     loop {
         tick.tick().await;
-        let mut tell = table.tell(clock.now());
+        let mut tell = table.router_report(clock.now());
         rounds += 1;
         if rounds.is_multiple_of(LIVE_EVERY) {
             tell.live = crate::gate::rehearse::live(&table, clock.now(), &seen());
         }
-        if let (at, Some(t)) = table.trial() {
+        if let (at, Some(t)) = table.candidate() {
             let done: Option<(_, crate::msg::RehearsalResult)> = last.take().filter(|l: &(_, _)| l.0 == at);
             let row = match done {
                 Some((_, r)) => r,
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -9,7 +9,7 @@
 use super::writer::Writer;
 use super::{logs, poll};
 use crate::chain::leaving::Departure;
-use crate::gate::Table;
+use crate::gate::BalancerTable;
 use crate::http::client::ClientConnections;
 use crate::http::pool::Pool;
 use crate::http::serve::Front;
@@ -104,8 +104,8 @@
     let services = Arc::new(Registry::default());
     let links = Links::new(tokio::runtime::Handle::current());
     let table = Arc::new(match c.protocols.runner.plain_services_report() {
-        true => Table::new(c.domain.clone(), Span::ms(c.proof_ms)),
-        false => Table::bare(c.domain.clone(), Span::ms(c.proof_ms)),
+        true => BalancerTable::new(c.domain.clone(), Span::ms(c.proof_ms)),
+        false => BalancerTable::with_plain_unreported(c.domain.clone(), Span::ms(c.proof_ms)),
     });
     services.add(links.clone());
     services.add(table.clone());
@@ -172,7 +172,7 @@
 }
 
 fn act(
-    table: &Arc<Table>,
+    table: &Arc<BalancerTable>,
     clock: &Arc<dyn Clock>,
     pool: &Arc<Pool>,
     hand: &Hand,
@@ -187,15 +187,15 @@
     let rt = tokio::runtime::Handle::current();
     Box::new(move |e| match e {
         Effect::TopicUpdate { scope, at, slice, proven } => {
-            table.learn(clock.now(), &scope, at, slice, proven)
+            table.apply_slice(clock.now(), &scope, at, slice, proven)
         }
-        Effect::ServingLease { scopes, until } => table.lease(clock.now(), &scopes, until),
-        Effect::RunnerLeaving(name) => table.mark(clock.now(), &name),
+        Effect::ServingLease { scopes, until } => table.extend_leases(clock.now(), &scopes, until),
+        Effect::RunnerLeaving(name) => table.mark_leaving(clock.now(), &name),
         Effect::RouterCount(n) => routers.store(n, Ordering::SeqCst),
         Effect::PollRunners(list) => *runners.lock().unwrap() = list,
         Effect::HoldsDuty(on) => drop(list.as_ref().map(|l| l.switch(on))),
         Effect::ReadList => drop(list.as_ref().map(|l| l.read_now())),
-        Effect::Holdings(rows) => table.held(clock.now(), &rows),
+        Effect::Holdings(rows) => table.on_holdings(clock.now(), &rows),
         Effect::QuotaGranted(grants) => table.quota.lock().unwrap().granted(clock.now(), &grants),
         Effect::PollRunner(name) => {
             let found = runners.lock().unwrap().iter().find(|r| r.instance == name).cloned();
@@ -220,14 +220,14 @@
 }
 
 fn router_tasks(
-    table: &Arc<Table>,
+    table: &Arc<BalancerTable>,
     clock: &Arc<dyn Clock>,
     hand: &Hand,
     front: &Arc<Front>,
     routers: &Arc<AtomicU64>,
 ) {
     let inbox = Mutex::new(hand.clone());
-    table.on_want(Arc::new(move |want| inbox.lock().unwrap().feed(Event::NameWanted(want))));
+    table.set_load_requester(Arc::new(move |want| inbox.lock().unwrap().feed(Event::NameWanted(want))));
     let inbox = Mutex::new(hand.clone());
     let asker = move |demand| inbox.lock().unwrap().feed(Event::QuotaWanted(demand));
     table.quota.lock().unwrap().on_wanted(Arc::new(asker));
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -2,7 +2,7 @@
 use super::input::Hand;
 use super::links::Links;
 use super::serve::serve;
-use crate::gate::Table;
+use crate::gate::BalancerTable;
 use crate::http::admin::ChangeQueue;
 use crate::http::serve::Front;
 use crate::kernel::time::Time;
@@ -38,7 +38,7 @@
     };
     let (f, l) = (front.clone(), links.clone());
     let metrics = move || {
-        let mut out = gates(&f.table, f.clock.now());
+        let mut out = balancers(&f.table, f.clock.now());
         out.push_str(&quota(&f.table, f.clock.now()));
         let _ = writeln!(out, "spindledock_open_orders {}", f.open.load(Ordering::Relaxed));
         let _ = writeln!(out, "spindledock_bad_frames {}", l.bad.load(Ordering::Relaxed));
@@ -54,7 +54,7 @@
     tokio::spawn(serve(socket, Arc::new(move |order| Box::pin(desk.clone().answer(order)))));
 }
 
-fn quota(table: &Table, now: Time) -> String {
+fn quota(table: &BalancerTable, now: Time) -> String {
     let mut shares = table.quota.lock().unwrap();
     let counts = shares.counts();
     let mut out = String::new();
@@ -70,27 +70,27 @@
     out
 }
 
-fn gates(table: &Table, now: Time) -> String {
+fn balancers(table: &BalancerTable, now: Time) -> String {
     let mut out = String::new();
-    for gate in table.gates() {
-        let g = gate.lock().unwrap();
-        let name = g.name.clone();
-        let credit = g.tries.credit();
+    for balancer in table.balancers() {
+        let g = balancer.lock().unwrap();
+        let name = g.service.clone();
+        let credit = g.retry_budget.credit();
         let mut row = |key: &str, value: f64| {
             let _ = writeln!(out, "spindledock_{key}{{service=\"{name}\"}} {value}");
         };
-        row("inbox", g.inbox.len() as f64);
-        row("first_sends", g.tries.first as f64);
-        row("extra_tries", g.tries.extra as f64);
+        row("inbox", g.queue.len() as f64);
+        row("first_sends", g.retry_budget.first_sends as f64);
+        row("extra_tries", g.retry_budget.extra_sends as f64);
         row("retry_credit", credit);
-        row("reserved_tries", g.tries.reserved() as f64);
-        row("freshness_age_ms", now.since(g.proven).as_ms() as f64);
-        row("expected_wait_ms", g.waits.as_ms() as f64);
-        row("version", g.at.0 as f64);
-        for (key, n) in g.counts.clone() {
+        row("reserved_tries", g.retry_budget.reserved() as f64);
+        row("freshness_age_ms", now.since(g.proven_at).as_ms() as f64);
+        row("expected_wait_ms", g.last_expected_wait.as_ms() as f64);
+        row("version", g.slice_version.0 as f64);
+        for (key, n) in g.counters.clone() {
             row(key, n as f64);
         }
-        let active: u64 = g.active.values().sum();
+        let active: u64 = g.active_requests.values().sum();
         row("active", active as f64);
     }
     out
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -3,7 +3,7 @@
 
 use super::input::Hand;
 use crate::chain::leaving::Departure;
-use crate::gate::Table;
+use crate::gate::BalancerTable;
 use crate::http::serve::Front;
 use crate::kernel::time::{Clock, Span, Time};
 use crate::msg::{Event, Role};
@@ -27,7 +27,7 @@
     /// The side that callers see.
     pub front: Arc<Front>,
     /// The gates that requests wait at.
-    pub table: Arc<Table>,
+    pub table: Arc<BalancerTable>,
     /// The clock that the limits are told by.
     pub clock: Arc<dyn Clock>,
     /// The way to the node.
--- a/src/forwarding/attempt.rs
+++ b/src/forwarding/attempt.rs
@@ -2,7 +2,7 @@
 use super::request::*;
 use super::resume::Joined;
 use crate::fleet::runner::Runner;
-use crate::gate::{Gate, Refusal};
+use crate::gate::{Balancer, Refusal};
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
 use crate::transfer::event_boundary::EventBoundary;
@@ -69,7 +69,7 @@
         attempt: AttemptNo,
         status: u16,
         stream: bool,
-        gate: &mut Gate,
+        balancer: &mut Balancer,
         out: &mut Vec<Out>,
     ) {
         let fit = stream && status == 200;
@@ -79,15 +79,15 @@
         let runner = l.runner.instance.clone();
         if self.began {
             if !fit {
-                self.close(now, attempt, Some(false), gate, out);
-                self.resume(now, runner, gate, out);
+                self.close(now, attempt, Some(false), balancer, out);
+                self.resume(now, runner, balancer, out);
             }
             return;
         }
         self.began = true;
         self.sent = true;
         self.stream = fit;
-        gate.count(if status < 500 { "answered" } else { "answered_5xx" });
+        balancer.count(if status < 500 { "answered" } else { "answered_5xx" });
         out.push(Out::Head { attempt });
     }
 
@@ -97,16 +97,16 @@
         now: Time,
         attempt: AttemptNo,
         item: Item,
-        gate: &mut Gate,
+        balancer: &mut Balancer,
         out: &mut Vec<Out>,
     ) {
         match self.joined(attempt, &item) {
             Joined::Goes => {
-                self.source_heard(now, gate, out);
-                self.main_item(now, item, gate, out);
+                self.source_heard(now, balancer, out);
+                self.main_item(now, item, balancer, out);
             }
             Joined::Skipped => {}
-            Joined::Differs(how) => self.main_differs(now, attempt, &how, gate, out),
+            Joined::Differs(how) => self.main_differs(now, attempt, &how, balancer, out),
         }
     }
 
@@ -138,14 +138,14 @@
         now: Time,
         attempt: AttemptNo,
         end: AnswerEnd,
-        gate: &mut Gate,
+        balancer: &mut Balancer,
         out: &mut Vec<Out>,
     ) {
         if !self.may_end(attempt, end) {
-            gate.count("ended_early");
-            return self.lost(now, attempt, gate, out);
+            balancer.count("ended_early");
+            return self.lost(now, attempt, balancer, out);
         }
-        self.source_ended(now, gate, out);
+        self.source_ended(now, balancer, out);
         if let Some(l) = self.attempt(attempt) {
             let rest = l.cut.rest();
             if !rest.is_empty() {
@@ -154,18 +154,18 @@
         }
         if let Some(l) = self.attempt(attempt) {
             let held = now.since(l.since);
-            gate.ended(&self.order.model, held);
+            balancer.record_occupancy(&self.spec.model, held);
         }
-        self.close(now, attempt, Some(true), gate, out);
-        self.close_all(now, gate, out);
-        gate.count("finished");
+        self.close(now, attempt, Some(true), balancer, out);
+        self.close_all(now, balancer, out);
+        balancer.count("finished");
         out.push(Out::Finish);
     }
 
     /// What is known of a request as it ends without a whole answer: for the log.
-    pub fn standing(&self, refusal: &Refusal, gate: &Gate) -> String {
+    pub fn standing(&self, refusal: &Refusal, balancer: &Balancer) -> String {
         let last = self.sequence.last().unwrap_or("none");
-        let (opened, most, credit) = (self.opened, self.order.tries, gate.tries.credit());
+        let (opened, most, credit) = (self.opened, self.spec.max_attempts, balancer.retry_budget.credit());
         let why = refusal.code();
         format!("{why} passed={} last={last} attempts={opened}/{most} credit={credit:.1}", self.passed)
     }
--- a/src/forwarding/failure.rs
+++ b/src/forwarding/failure.rs
@@ -2,8 +2,8 @@
 
 use super::request::*;
 use crate::fleet::config::RouteKind;
-use crate::gate::order::Why;
-use crate::gate::{Gate, Plan, Refusal};
+use crate::gate::order::RefusalReason;
+use crate::gate::{Balancer, Refusal, RoutingDecision};
 use crate::kernel::time::Time;
 
 impl RequestFlow {
@@ -11,53 +11,55 @@
         &mut self,
         now: Time,
         attempt: AttemptNo,
-        why: Option<Why>,
-        gate: &mut Gate,
+        why: Option<RefusalReason>,
+        balancer: &mut Balancer,
         out: &mut Vec<Out>,
     ) {
         self.opened = self.opened.saturating_sub(1);
         let Some(runner) = self.attempt(attempt).map(|l| l.runner.instance.clone()) else { return };
         let good = if why.is_none() { Some(false) } else { None };
-        self.close(now, attempt, good, gate, out);
+        self.close(now, attempt, good, balancer, out);
         if self.began || self.sent {
-            return self.resume(now, runner, gate, out);
+            return self.resume(now, runner, balancer, out);
         }
         match why {
-            Some(Why::Due) => self.refuse(now, Refusal::new(Why::Due, 1), gate, out),
+            Some(RefusalReason::DeadlinePassed) => {
+                self.refuse(now, Refusal::new(RefusalReason::DeadlinePassed, 1), balancer, out)
+            }
             Some(_) => {
-                let plan = gate.plan(now, &self.order, &self.avoid);
-                self.again(now, plan, gate, out);
+                let plan = balancer.route(now, &self.spec, &self.avoid);
+                self.again(now, plan, balancer, out);
             }
             None => {
-                gate.unreachable(now, &runner);
-                gate.count("open_failed");
+                balancer.on_unreachable(now, &runner);
+                balancer.count("open_failed");
                 self.avoid.push(runner);
-                if !gate.tries.spend() {
-                    return self.refuse(now, Refusal::new(Why::NoBudget, 1), gate, out);
+                if !balancer.retry_budget.try_spend() {
+                    return self.refuse(now, Refusal::new(RefusalReason::RetryBudgetSpent, 1), balancer, out);
                 }
-                let plan = gate.plan(now, &self.order, &self.avoid);
-                self.again(now, plan, gate, out);
+                let plan = balancer.route(now, &self.spec, &self.avoid);
+                self.again(now, plan, balancer, out);
             }
         }
     }
 
-    pub fn again(&mut self, now: Time, plan: Plan, gate: &mut Gate, out: &mut Vec<Out>) {
+    pub fn again(&mut self, now: Time, plan: RoutingDecision, balancer: &mut Balancer, out: &mut Vec<Out>) {
         match plan {
-            Plan::Send(runner) => self.open_main(now, runner, out),
-            Plan::Wait(_) => self.wait(out),
-            Plan::Refuse(r) => self.refuse(now, r, gate, out),
+            RoutingDecision::Send(runner) => self.open_main(now, runner, out),
+            RoutingDecision::Wait(_) => self.wait(out),
+            RoutingDecision::Refuse(r) => self.refuse(now, r, balancer, out),
         }
     }
 
-    pub fn lost(&mut self, now: Time, attempt: AttemptNo, gate: &mut Gate, out: &mut Vec<Out>) {
+    pub fn lost(&mut self, now: Time, attempt: AttemptNo, balancer: &mut Balancer, out: &mut Vec<Out>) {
         let Some(runner) = self.attempt(attempt).map(|l| l.runner.instance.clone()) else { return };
-        self.source_failed(now, gate, out);
+        self.source_failed(now, balancer, out);
         self.sent = true;
-        self.close(now, attempt, Some(false), gate, out);
-        gate.count("lost");
-        if self.stream || !self.began || self.order.kind == RouteKind::Idempotent {
-            return self.resume(now, runner, gate, out);
+        self.close(now, attempt, Some(false), balancer, out);
+        balancer.count("lost");
+        if self.stream || !self.began || self.spec.route_kind == RouteKind::Idempotent {
+            return self.resume(now, runner, balancer, out);
         }
-        self.refuse(now, Refusal::new(Why::NoRunner, 1), gate, out);
+        self.refuse(now, Refusal::new(RefusalReason::NoRunner, 1), balancer, out);
     }
 }
--- a/src/forwarding/mod.rs
+++ b/src/forwarding/mod.rs
@@ -6,5 +6,6 @@
 pub mod resume;
 pub mod role;
 pub mod standby;
+pub mod tick;
 pub use answer_end::AnswerEnd;
 pub use request::{In, Out, RequestFlow};
--- a/src/forwarding/request.rs
+++ b/src/forwarding/request.rs
@@ -1,8 +1,8 @@
 use super::answer_end::AnswerEnd;
 use super::attempt::RunnerAttempt;
 use crate::fleet::runner::Runner;
-use crate::gate::order::Why;
-use crate::gate::{Gate, Order, Plan, Refusal};
+use crate::gate::order::RefusalReason;
+use crate::gate::{Balancer, Refusal, RequestSpec, RoutingDecision};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::protocol::Load;
@@ -20,8 +20,8 @@
 #[derive(Debug)]
 pub enum In {
     Go,
-    Woken(Plan),
-    OpenFailed { attempt: AttemptNo, why: Option<Why> },
+    Woken(RoutingDecision),
+    OpenFailed { attempt: AttemptNo, why: Option<RefusalReason> },
     Lost { attempt: AttemptNo },
     Shed { attempt: AttemptNo, gone: bool },
     Load { attempt: AttemptNo, load: Load },
@@ -61,7 +61,7 @@
 }
 
 pub struct RequestFlow {
-    pub order: Order,
+    pub spec: RequestSpec,
     pub attempts: Vec<RunnerAttempt>,
     pub main: AttemptNo,
     pub next: AttemptNo,
@@ -93,10 +93,10 @@
 }
 
 impl RequestFlow {
-    pub fn new(order: Order) -> RequestFlow {
-        let sequence = Sequence::after(order.last.clone());
+    pub fn new(spec: RequestSpec) -> RequestFlow {
+        let sequence = Sequence::after(spec.last_event_id.clone());
         RequestFlow {
-            order,
+            spec,
             attempts: Vec::new(),
             main: 0,
             next: 1,
@@ -123,33 +123,33 @@
         }
     }
 
-    pub fn step(&mut self, now: Time, ev: In, gate: &mut Gate) -> Vec<Out> {
+    pub fn step(&mut self, now: Time, ev: In, balancer: &mut Balancer) -> Vec<Out> {
         let mut out = Vec::new();
         if let In::Woken(plan) = &ev
             && !std::mem::take(&mut self.waiting)
         {
-            self.decline(now, plan, gate);
+            self.decline(now, plan, balancer);
             return out;
         }
         if self.over || self.is_stray(&ev) {
             return out;
         }
         if let Some((_, hand)) = &mut self.hand {
-            hand.more = gate.tries.credit() >= 1.0;
+            hand.more = balancer.retry_budget.credit() >= 1.0;
         }
         match ev {
             In::Go => {
-                let plan = gate.enter(now, &self.order);
-                self.carry(now, plan, gate, &mut out);
+                let plan = balancer.route_new(now, &self.spec);
+                self.carry(now, plan, balancer, &mut out);
             }
-            In::Woken(plan) => self.carry(now, plan, gate, &mut out),
-            In::Load { attempt, load } => self.told_load(now, attempt, load, gate),
+            In::Woken(plan) => self.carry(now, plan, balancer, &mut out),
+            In::Load { attempt, load } => self.told_load(now, attempt, load, balancer),
             In::Gone => {
-                gate.count("caller_gone");
-                self.close_all(now, gate, &mut out);
+                balancer.count("caller_gone");
+                self.close_all(now, balancer, &mut out);
             }
-            In::Tick => self.tick(now, gate, &mut out),
-            of_attempt => self.attempt_event(now, of_attempt, gate, &mut out),
+            In::Tick => self.tick(now, balancer, &mut out),
+            of_attempt => self.attempt_event(now, of_attempt, balancer, &mut out),
         }
         out
     }
@@ -158,17 +158,17 @@
         ev.attempt().is_some_and(|attempt| self.attempts.iter().all(|l| l.no != attempt))
     }
 
-    fn carry(&mut self, now: Time, plan: Plan, gate: &mut Gate, out: &mut Vec<Out>) {
+    fn carry(&mut self, now: Time, plan: RoutingDecision, balancer: &mut Balancer, out: &mut Vec<Out>) {
         match plan {
-            Plan::Send(runner) => {
+            RoutingDecision::Send(runner) => {
                 if !self.counted {
                     self.counted = true;
-                    gate.tries.first();
+                    balancer.retry_budget.record_first_send();
                 }
                 self.open_main(now, runner, out);
             }
-            Plan::Wait(_) => self.wait(out),
-            Plan::Refuse(r) => self.refuse(now, r, gate, out),
+            RoutingDecision::Wait(_) => self.wait(out),
+            RoutingDecision::Refuse(r) => self.refuse(now, r, balancer, out),
         }
     }
 
@@ -184,27 +184,27 @@
     }
 
     /// A plan that came when the request no longer waited: its slot is free again.
-    fn decline(&self, now: Time, plan: &Plan, gate: &mut Gate) {
-        if let Plan::Send(runner) = plan {
-            gate.count("plan_untaken");
-            gate.release(now, &runner.instance, &self.order.model, None);
+    fn decline(&self, now: Time, plan: &RoutingDecision, balancer: &mut Balancer) {
+        if let RoutingDecision::Send(runner) = plan {
+            balancer.count("plan_untaken");
+            balancer.release_slot(now, &runner.instance, &self.spec.model, None);
         }
     }
 
-    pub fn refuse(&mut self, now: Time, r: Refusal, gate: &mut Gate, out: &mut Vec<Out>) {
-        self.close_all(now, gate, out);
+    pub fn refuse(&mut self, now: Time, r: Refusal, balancer: &mut Balancer, out: &mut Vec<Out>) {
+        self.close_all(now, balancer, out);
         if self.began {
-            gate.count("broken");
-            out.push(Out::Told("stream-broken", self.standing(&r, gate)));
+            balancer.count("broken");
+            out.push(Out::Told("stream-broken", self.standing(&r, balancer)));
             out.push(Out::Break("no runner could go on with the stream"));
         } else if self.sent {
-            gate.count("unknown");
+            balancer.count("unknown");
             out.push(Out::Unknown(
                 502,
                 "the runner was lost after it may have begun; its outcome is not known",
             ));
         } else {
-            gate.count("refused");
+            balancer.count("refused");
             out.push(Out::Refuse(r));
         }
     }
@@ -223,25 +223,25 @@
         now: Time,
         attempt: AttemptNo,
         good: Option<bool>,
-        gate: &mut Gate,
+        balancer: &mut Balancer,
         out: &mut Vec<Out>,
     ) {
         let Some(at) = self.attempts.iter().position(|l| l.no == attempt) else { return };
         let l = self.attempts.remove(at);
         out.push(Out::Close { attempt });
-        gate.release(now, &l.runner.instance, &self.order.model, good);
+        balancer.release_slot(now, &l.runner.instance, &self.spec.model, good);
     }
 
-    pub fn close_all(&mut self, now: Time, gate: &mut Gate, out: &mut Vec<Out>) {
+    pub fn close_all(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<Out>) {
         self.over = true;
         self.waiting = false;
-        gate.inbox.drop_id(self.order.id);
+        balancer.queue.remove_request(self.spec.id);
         self.hand = None;
         self.standby = None;
-        gate.tries.give_back(std::mem::take(&mut self.reserved));
+        balancer.retry_budget.return_reserved(std::mem::take(&mut self.reserved));
         let all: Vec<AttemptNo> = self.attempts.iter().map(|l| l.no).collect();
         for attempt in all {
-            self.close(now, attempt, None, gate, out);
+            self.close(now, attempt, None, balancer, out);
         }
     }
 }
--- a/src/forwarding/resume.rs
+++ b/src/forwarding/resume.rs
@@ -2,8 +2,8 @@
 use super::request::*;
 use crate::fleet::config::RouteKind;
 use crate::fleet::runner::Runner;
-use crate::gate::order::Why;
-use crate::gate::{Gate, Refusal};
+use crate::gate::order::RefusalReason;
+use crate::gate::{Balancer, Refusal};
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 use crate::protocol::Load;
@@ -34,7 +34,7 @@
     /// Opens a run that is to go on where the stream stands.
     pub fn open_at_last(&mut self, now: Time, runner: Runner, out: &mut Vec<Out>) -> AttemptNo {
         let last = self.sequence.last().map(|last| last.to_string());
-        let (from, join) = match (self.order.runs, &self.tail) {
+        let (from, join) = match (self.spec.run_contract, &self.tail) {
             (_, None) => (last, Join::Open),
             (RunContract::SameEvents, Some(tail)) => (self.prev.clone(), Join::Repeat(tail.clone())),
             (RunContract::SameIds, Some(_)) => (last, Join::Next),
@@ -72,79 +72,96 @@
         now: Time,
         attempt: AttemptNo,
         how: &str,
-        gate: &mut Gate,
+        balancer: &mut Balancer,
         out: &mut Vec<Out>,
     ) {
-        gate.count("resume_differs");
+        balancer.count("resume_differs");
         let runner = self.runner_of(attempt).unwrap_or_default();
         out.push(Out::Told("resume-differs", format!("{runner}: {how}; passed={}", self.passed)));
-        self.close(now, attempt, Some(false), gate, out);
-        self.resume(now, runner, gate, out);
+        self.close(now, attempt, Some(false), balancer, out);
+        self.resume(now, runner, balancer, out);
     }
 
     /// How long a runner of an order that may run again is waited for: to its first event, then to the next.
     pub fn silence(&self) -> Option<Span> {
-        let o = &self.order;
-        let again =
-            (o.resumable && !self.unplaced && o.kind == RouteKind::Stream) || o.kind == RouteKind::Idempotent;
-        if !again || o.aim.0 == 0 || self.opened >= o.tries {
+        let o = &self.spec;
+        let again = (o.is_resumable && !self.unplaced && o.route_kind == RouteKind::Stream)
+            || o.route_kind == RouteKind::Idempotent;
+        if !again || o.target_latency.0 == 0 || self.opened >= o.max_attempts {
             return None;
         }
         if self.passed == 0 {
-            return Some(Span((o.aim.0 * 2).clamp(FIRST.0, FIRST.0 * 4)));
+            return Some(Span((o.target_latency.0 * 2).clamp(FIRST.0, FIRST.0 * 4)));
         }
-        (self.stream && o.gap.0 > 0).then(|| Span((o.gap.0 * 4).max(NEXT.0)))
+        (self.stream && o.target_gap.0 > 0).then(|| Span((o.target_gap.0 * 4).max(NEXT.0)))
     }
 
-    pub fn shed(&mut self, now: Time, attempt: AttemptNo, gone: bool, gate: &mut Gate, out: &mut Vec<Out>) {
+    pub fn shed(
+        &mut self,
+        now: Time,
+        attempt: AttemptNo,
+        gone: bool,
+        balancer: &mut Balancer,
+        out: &mut Vec<Out>,
+    ) {
         let Some(runner) = self.runner_of(attempt) else { return };
-        self.close(now, attempt, None, gate, out);
-        gate.count(if gone { "not_there" } else { "shed" });
-        gate.turned_away(now, &runner, &self.order, gone);
+        self.close(now, attempt, None, balancer, out);
+        balancer.count(if gone { "not_there" } else { "shed" });
+        balancer.on_rejected(now, &runner, &self.spec, gone);
         if self.began || self.sent {
-            return self.resume(now, runner, gate, out);
+            return self.resume(now, runner, balancer, out);
         }
         self.avoid.push(runner);
-        if self.opened >= self.order.tries || !gate.tries.spend() {
-            return self.refuse(now, Refusal::after(Why::Full, Span::ms(300)), gate, out);
+        if self.opened >= self.spec.max_attempts || !balancer.retry_budget.try_spend() {
+            return self.refuse(
+                now,
+                Refusal::after(RefusalReason::RunnersFull, Span::ms(300)),
+                balancer,
+                out,
+            );
         }
-        let plan = gate.plan(now, &self.order, &self.avoid);
-        self.again(now, plan, gate, out);
+        let plan = balancer.route(now, &self.spec, &self.avoid);
+        self.again(now, plan, balancer, out);
     }
 
-    pub fn told_load(&mut self, now: Time, attempt: AttemptNo, load: Load, gate: &mut Gate) {
+    pub fn told_load(&mut self, now: Time, attempt: AttemptNo, load: Load, balancer: &mut Balancer) {
         if let Some(runner) = self.runner_of(attempt) {
-            gate.told_load(now, &runner, load);
+            balancer.on_load(now, &runner, load);
         }
     }
 
     /// Whether another runner may be asked although this one may have run the request. A stream can't be taken up
     /// behind an event that bears no id: nothing tells the next runner, or us, where it stands.
     pub fn may_run_again(&self) -> bool {
-        (self.order.resumable && !self.unplaced) || (self.order.kind == RouteKind::Idempotent && !self.began)
+        (self.spec.is_resumable && !self.unplaced)
+            || (self.spec.route_kind == RouteKind::Idempotent && !self.began)
     }
 
     /// The stream's own run is over before its end, in whatever way: another one goes on. A run that stands by is
     /// that one; while there is none, another runner is asked or waited for.
-    pub fn resume(&mut self, now: Time, from: Name, gate: &mut Gate, out: &mut Vec<Out>) {
+    pub fn resume(&mut self, now: Time, from: Name, balancer: &mut Balancer, out: &mut Vec<Out>) {
         if self.standby_steps_in(&from, out) {
             return;
         }
         self.avoid.push(from);
-        if !self.may_run_again() || self.opened >= self.order.tries || !gate.tries.spend() {
-            return self.refuse(now, Refusal::new(Why::NoBudget, 1), gate, out);
+        if !self.may_run_again()
+            || self.opened >= self.spec.max_attempts
+            || !balancer.retry_budget.try_spend()
+        {
+            return self.refuse(now, Refusal::new(RefusalReason::RetryBudgetSpent, 1), balancer, out);
         }
-        gate.count("resumed");
+        balancer.count("resumed");
         self.order_resumed(now);
-        let plan = gate.plan(now, &self.order, &self.avoid);
-        self.again(now, plan, gate, out);
+        let plan = balancer.route(now, &self.spec, &self.avoid);
+        self.again(now, plan, balancer, out);
     }
 
     /// From now on the request is one that was begun: it may wait longer for a runner, and is not given up early.
     pub fn order_resumed(&mut self, now: Time) {
-        let order = &mut self.order;
-        order.due = order.due.max(now + RESUME_WITHIN).min(order.end.max(order.due));
-        order.last = self.sequence.last().map(|last| last.to_string());
-        order.resumed = true;
+        let spec = &mut self.spec;
+        spec.start_deadline =
+            spec.start_deadline.max(now + RESUME_WITHIN).min(spec.answer_deadline.max(spec.start_deadline));
+        spec.last_event_id = self.sequence.last().map(|last| last.to_string());
+        spec.is_resumed = true;
     }
 }
--- a/src/forwarding/role.rs
+++ b/src/forwarding/role.rs
@@ -3,7 +3,7 @@
 
 use super::attempt::RunnerAttempt;
 use super::request::*;
-use crate::gate::Gate;
+use crate::gate::Balancer;
 use crate::kernel::time::Time;
 use crate::transfer::event_buffer::Item;
 use bytes::Bytes;
@@ -32,67 +32,83 @@
     }
 
     /// Handles an event of a run that is under way.
-    pub fn attempt_event(&mut self, now: Time, ev: In, gate: &mut Gate, out: &mut Vec<Out>) {
+    pub fn attempt_event(&mut self, now: Time, ev: In, balancer: &mut Balancer, out: &mut Vec<Out>) {
         let Some(attempt) = ev.attempt() else { return };
         if let In::Chunk { raw, .. } = &ev {
-            return self.chunk(now, attempt, raw, gate, out);
+            return self.chunk(now, attempt, raw, balancer, out);
         }
         match self.role_of(attempt) {
-            AttemptRole::Main => self.main_event(now, ev, gate, out),
-            AttemptRole::Standby => self.standby_event(now, ev, gate, out),
-            AttemptRole::Destination => self.dest_event(now, ev, gate, out),
+            AttemptRole::Main => self.main_event(now, ev, balancer, out),
+            AttemptRole::Standby => self.standby_event(now, ev, balancer, out),
+            AttemptRole::Destination => self.dest_event(now, ev, balancer, out),
         }
     }
 
-    fn main_event(&mut self, now: Time, ev: In, gate: &mut Gate, out: &mut Vec<Out>) {
+    fn main_event(&mut self, now: Time, ev: In, balancer: &mut Balancer, out: &mut Vec<Out>) {
         match ev {
-            In::OpenFailed { attempt, why } => self.open_failed(now, attempt, why, gate, out),
-            In::Lost { attempt } => self.lost(now, attempt, gate, out),
-            In::Shed { attempt, gone } => self.shed(now, attempt, gone, gate, out),
-            In::Head { attempt, status, stream } => self.head(now, attempt, status, stream, gate, out),
-            In::End { attempt, end } => self.ended(now, attempt, end, gate, out),
+            In::OpenFailed { attempt, why } => self.open_failed(now, attempt, why, balancer, out),
+            In::Lost { attempt } => self.lost(now, attempt, balancer, out),
+            In::Shed { attempt, gone } => self.shed(now, attempt, gone, balancer, out),
+            In::Head { attempt, status, stream } => self.head(now, attempt, status, stream, balancer, out),
+            In::End { attempt, end } => self.ended(now, attempt, end, balancer, out),
             _ => {}
         }
     }
 
-    fn chunk(&mut self, now: Time, attempt: AttemptNo, raw: &Bytes, gate: &mut Gate, out: &mut Vec<Out>) {
+    fn chunk(
+        &mut self,
+        now: Time,
+        attempt: AttemptNo,
+        raw: &Bytes,
+        balancer: &mut Balancer,
+        out: &mut Vec<Out>,
+    ) {
         if let Some(run) = self.attempt(attempt) {
             run.boundary.add(raw);
         }
         if self.role_of(attempt) == AttemptRole::Main {
             self.heard = now;
-            if !(self.order.resumable && self.stream) {
+            if !(self.spec.is_resumable && self.stream) {
                 return out.push(Out::Pass(raw.clone()));
             }
         }
         let Some(run) = self.attempt(attempt) else { return };
         let items = run.cut.add(raw);
         if run.cut.too_long() {
-            return self.event_too_long(now, attempt, gate, out);
+            return self.event_too_long(now, attempt, balancer, out);
         }
         for item in items {
-            self.item(now, attempt, item, gate, out);
+            self.item(now, attempt, item, balancer, out);
             if self.over || self.attempts.iter().all(|run: &RunnerAttempt| run.no != attempt) {
                 return;
             }
         }
     }
 
-    fn event_too_long(&mut self, now: Time, attempt: AttemptNo, gate: &mut Gate, out: &mut Vec<Out>) {
+    fn event_too_long(&mut self, now: Time, attempt: AttemptNo, balancer: &mut Balancer, out: &mut Vec<Out>) {
         match self.role_of(attempt) {
-            AttemptRole::Standby => self.standby_failed(now, "an event was too long", Some(false), gate, out),
+            AttemptRole::Standby => {
+                self.standby_failed(now, "an event was too long", Some(false), balancer, out)
+            }
             AttemptRole::Main | AttemptRole::Destination => {
-                self.attempt_event(now, In::Lost { attempt }, gate, out);
+                self.attempt_event(now, In::Lost { attempt }, balancer, out);
             }
         }
     }
 
     /// One event of a run; it may change what the run is for.
-    fn item(&mut self, now: Time, attempt: AttemptNo, item: Item, gate: &mut Gate, out: &mut Vec<Out>) {
+    fn item(
+        &mut self,
+        now: Time,
+        attempt: AttemptNo,
+        item: Item,
+        balancer: &mut Balancer,
+        out: &mut Vec<Out>,
+    ) {
         match self.role_of(attempt) {
-            AttemptRole::Main => self.joined_item(now, attempt, item, gate, out),
-            AttemptRole::Standby => self.standby_item(now, attempt, item, gate, out),
-            AttemptRole::Destination => self.dest_item(now, item, gate, out),
+            AttemptRole::Main => self.joined_item(now, attempt, item, balancer, out),
+            AttemptRole::Standby => self.standby_item(now, attempt, item, balancer, out),
+            AttemptRole::Destination => self.dest_item(now, item, balancer, out),
         }
     }
 }
--- a/src/forwarding/standby.rs
+++ b/src/forwarding/standby.rs
@@ -8,7 +8,7 @@
 
 use super::request::*;
 use super::resume::Joined;
-use crate::gate::{Gate, Plan};
+use crate::gate::{Balancer, RoutingDecision};
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 use crate::transfer::event_buffer::Item;
@@ -18,36 +18,36 @@
 
 impl RequestFlow {
     /// An event of the run that stands by, other than a piece of its answer.
-    pub fn standby_event(&mut self, now: Time, ev: In, gate: &mut Gate, out: &mut Vec<Out>) {
+    pub fn standby_event(&mut self, now: Time, ev: In, balancer: &mut Balancer, out: &mut Vec<Out>) {
         match ev {
             In::OpenFailed { why, .. } => {
                 self.opened = self.opened.saturating_sub(1);
                 let good = why.is_none().then_some(false);
-                self.standby_failed(now, "it could not be reached", good, gate, out);
+                self.standby_failed(now, "it could not be reached", good, balancer, out);
             }
-            In::Lost { .. } => self.standby_failed(now, "it failed", Some(false), gate, out),
+            In::Lost { .. } => self.standby_failed(now, "it failed", Some(false), balancer, out),
             In::Shed { attempt, gone } => {
                 let runner = self.runner_of(attempt).unwrap_or_default();
-                gate.turned_away(now, &runner, &self.order, gone);
-                self.standby_failed(now, "it turned the request away", None, gate, out);
+                balancer.on_rejected(now, &runner, &self.spec, gone);
+                self.standby_failed(now, "it turned the request away", None, balancer, out);
             }
             In::Head { status: 200, stream: true, attempt } => self.head_came(attempt),
             In::Head { .. } => {
-                self.standby_failed(now, "it did not answer with a stream", None, gate, out);
+                self.standby_failed(now, "it did not answer with a stream", None, balancer, out);
             }
-            In::End { .. } => self.standby_failed(now, "it ended without a word", None, gate, out),
+            In::End { .. } => self.standby_failed(now, "it ended without a word", None, balancer, out),
             _ => {}
         }
     }
 
     /// Whether a silent run is left alone while another is asked, as a begun stream that may be resumed is.
     pub fn has_standby_rights(&self) -> bool {
-        self.began && self.stream && self.order.resumable && !self.unplaced
+        self.began && self.stream && self.spec.is_resumable && !self.unplaced
     }
 
     /// Asks another runner to go on with the stream, if there is one now and the budget allows it.
-    pub fn open_standby(&mut self, now: Time, silent: &Name, gate: &mut Gate, out: &mut Vec<Out>) {
-        let spent = self.opened >= self.order.tries || gate.tries.credit() < 1.0;
+    pub fn open_standby(&mut self, now: Time, silent: &Name, balancer: &mut Balancer, out: &mut Vec<Out>) {
+        let spent = self.opened >= self.spec.max_attempts || balancer.retry_budget.credit() < 1.0;
         if self.standby.is_some() || self.hand.is_some() || spent || now < self.standby_next {
             return;
         }
@@ -55,12 +55,12 @@
         let mut avoid = self.avoid.clone();
         avoid.push(silent.clone());
         self.order_resumed(now);
-        let Plan::Send(runner) = gate.nominate(now, &self.order, &avoid) else { return };
-        if !gate.tries.spend() {
+        let RoutingDecision::Send(runner) = balancer.choose_runner(now, &self.spec, &avoid) else { return };
+        if !balancer.retry_budget.try_spend() {
             return;
         }
-        gate.take(now, &runner, &self.order);
-        gate.count("standby_opened");
+        balancer.claim_slot(now, &runner, &self.spec);
+        balancer.count("standby_opened");
         out.push(Out::Told("standby", format!("{} beside silent {silent}", runner.instance)));
         self.opened += 1;
         let heard = self.heard;
@@ -74,32 +74,38 @@
         now: Time,
         attempt: AttemptNo,
         item: Item,
-        gate: &mut Gate,
+        balancer: &mut Balancer,
         out: &mut Vec<Out>,
     ) {
         match self.joined(attempt, &item) {
             Joined::Goes => {
-                self.standby_takes_over(now, attempt, gate, out);
+                self.standby_takes_over(now, attempt, balancer, out);
                 self.pass_item(item, out);
             }
             Joined::Skipped => {}
             Joined::Differs(how) => {
-                gate.count("resume_differs");
-                self.standby_failed(now, &how, Some(false), gate, out);
+                balancer.count("resume_differs");
+                self.standby_failed(now, &how, Some(false), balancer, out);
             }
         }
     }
 
-    fn standby_takes_over(&mut self, now: Time, attempt: AttemptNo, gate: &mut Gate, out: &mut Vec<Out>) {
+    fn standby_takes_over(
+        &mut self,
+        now: Time,
+        attempt: AttemptNo,
+        balancer: &mut Balancer,
+        out: &mut Vec<Out>,
+    ) {
         let silent = std::mem::replace(&mut self.main, attempt);
         self.standby = None;
         self.heard = now;
         let from = self.runner_of(silent).unwrap_or_default();
         let to = self.runner_of(attempt).unwrap_or_default();
-        gate.count("standby_took_over");
+        balancer.count("standby_took_over");
         out.push(Out::Told("standby-took-over", format!("{from}>{to}")));
         self.avoid.push(from);
-        self.close(now, silent, Some(false), gate, out);
+        self.close(now, silent, Some(false), balancer, out);
     }
 
     /// The stream's own run is lost: the one that stands by is the resumed one from now on, if there is one.
@@ -117,20 +123,20 @@
         now: Time,
         why: &str,
         good: Option<bool>,
-        gate: &mut Gate,
+        balancer: &mut Balancer,
         out: &mut Vec<Out>,
     ) {
         let Some(attempt) = self.standby.take() else { return };
         let runner = self.runner_of(attempt).unwrap_or_default();
         out.push(Out::Told("standby-failed", format!("{runner}: {why}")));
         self.avoid.push(runner);
-        self.close(now, attempt, good, gate, out);
+        self.close(now, attempt, good, balancer, out);
     }
 
     /// The stream's own run gave the next event: none has to stand by.
-    pub fn source_heard(&mut self, now: Time, gate: &mut Gate, out: &mut Vec<Out>) {
+    pub fn source_heard(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<Out>) {
         let Some(attempt) = self.standby.take() else { return };
-        gate.count("standby_not_needed");
-        self.close(now, attempt, None, gate, out);
+        balancer.count("standby_not_needed");
+        self.close(now, attempt, None, balancer, out);
     }
 }
--- a/src/gate/admission.rs
+++ b/src/gate/admission.rs
@@ -1,8 +1,8 @@
 //! Who may send a request, when it arrives and again right before each send.
 #![deny(missing_docs)]
 
-use super::core::Gate;
-use super::order::{Order, Why};
+use super::core::Balancer;
+use super::order::{RefusalReason, RequestSpec};
 use crate::fleet::routes::RouteTable;
 use crate::fleet::slice::RouteRow;
 use crate::fleet::tenants::{Credential, KeyDigest, TenantRank};
@@ -32,25 +32,25 @@
     Ok(Admission { credential, rank })
 }
 
-impl Gate {
+impl Balancer {
     /// Whether the newest routes and tenants still allow a request that was admitted by earlier ones. A request may
     /// also have been admitted by newer ones than this gate was told of yet.
-    pub fn admits(&self, order: &Order) -> Result<(), Why> {
-        if order.routes_version >= self.routes.0 || order.path.is_empty() {
+    pub fn admits(&self, spec: &RequestSpec) -> Result<(), RefusalReason> {
+        if spec.routes_version >= self.routes.0 || spec.path.is_empty() {
             return Ok(());
         }
         let table = &self.routes.1;
-        let row = table.find(&order.host, &order.path);
-        let same = |r: &&RouteRow| r.leads_to(&self.name) && r.route.resumable == order.resumable;
-        let Some(row) = row.filter(same) else { return Err(Why::NoRoute) };
+        let row = table.find(&spec.host, &spec.path);
+        let same = |r: &&RouteRow| r.leads_to(&self.service) && r.route.resumable == spec.is_resumable;
+        let Some(row) = row.filter(same) else { return Err(RefusalReason::RouteChanged) };
         if row.route.open || table.tenants.is_empty() {
             return Ok(());
         }
-        let Some(credential) = &order.credential else { return Err(Why::UnknownKey) };
+        let Some(credential) = &spec.credential else { return Err(RefusalReason::UnknownKey) };
         match table.tenants.owner(&credential.key) {
             Some(owner) if owner.name == credential.tenant.name => Ok(()),
-            Some(_) => Err(Why::KeyPassedOn),
-            None => Err(Why::UnknownKey),
+            Some(_) => Err(RefusalReason::KeyReassigned),
+            None => Err(RefusalReason::UnknownKey),
         }
     }
 }
--- a/src/gate/health.rs
+++ b/src/gate/health.rs
@@ -4,86 +4,86 @@
 use crate::kernel::time::{Span, Time};
 use crate::protocol::Load;
 
-pub const DARK: Span = Span::ms(2500);
-const FULL: Span = Span::ms(150);
-const OLD: Span = Span::ms(500);
-const AWAY: Span = Span::ms(700);
-const FAILS: u32 = 3;
-const OUT: Span = Span::ms(2000);
-const OUT_MOST: u32 = 4;
+pub const REPORT_LIFETIME: Span = Span::ms(2500);
+const FULL_PAUSE: Span = Span::ms(150);
+const LOAD_HALVING_PERIOD: Span = Span::ms(500);
+const UNREACHABLE_EJECTION: Span = Span::ms(700);
+const FAILURES_TO_EJECT: u32 = 3;
+const BASE_EJECTION: Span = Span::ms(2000);
+const EJECTION_STEPS_MAX: u32 = 4;
 
 #[derive(Default, Debug)]
-pub struct Health {
+pub struct RunnerHealth {
     pub report: Option<(Time, RunnerReport)>,
-    pub mine: u64,
-    pub others: u64,
-    pub leaving: bool,
-    pushed: bool,
-    silent: bool,
-    fails: u32,
-    outs: u32,
-    out_until: Time,
+    pub own_requests: u64,
+    pub other_requests: u64,
+    pub is_leaving: bool,
+    is_pushed: bool,
+    is_silent: bool,
+    failures_in_row: u32,
+    ejections: u32,
+    ejected_until: Time,
     full_until: Time,
-    pub slots: u64,
-    load_at: Time,
+    pub reported_slots: u64,
+    load_reported_at: Time,
 }
 
-impl Health {
-    pub fn told(&mut self, now: Time, report: RunnerReport) {
-        self.leaving |= report.leaving;
-        self.others = (report.running + report.waiting).saturating_sub(self.mine);
+impl RunnerHealth {
+    pub fn on_report(&mut self, now: Time, report: RunnerReport) {
+        self.is_leaving |= report.leaving;
+        self.other_requests = (report.running + report.waiting).saturating_sub(self.own_requests);
         self.report = Some((now, report));
     }
 
     /// Pushed news stay valid until they are contradicted.
-    pub fn held(&mut self, now: Time, row: &RunnerHoldings) -> bool {
-        self.pushed = true;
-        self.silent = row.silent;
+    pub fn on_holdings(&mut self, now: Time, row: &RunnerHoldings) -> bool {
+        self.is_pushed = true;
+        self.is_silent = row.silent;
         let new = row.holding.as_ref().map(|h| h.open());
         let renewed = new.is_some();
         let Some(mut report) = new.or_else(|| self.report.take().map(|r| r.1)) else { return false };
         (report.running, report.waiting, report.tokens) = (row.running, row.waiting, row.tokens);
-        self.told(now, report);
+        self.on_report(now, report);
         renewed
     }
 
-    pub fn lacks(&mut self, name: &str) {
+    pub fn forget_weights(&mut self, name: &str) {
         if let Some((_, r)) = &mut self.report {
             r.holds.retain(|n| n.0 != name);
         }
     }
 
     pub fn holds(&self, now: Time, name: &Name) -> bool {
-        !self.leaving && self.fresh(now).is_some_and(|r| r.has(name))
+        !self.is_leaving && self.fresh_report(now).is_some_and(|r| r.has(name))
     }
 
-    pub fn fresh(&self, now: Time) -> Option<&RunnerReport> {
+    pub fn fresh_report(&self, now: Time) -> Option<&RunnerReport> {
         let (at, report) = self.report.as_ref()?;
-        (!self.silent && (self.pushed || now.since(*at) < DARK)).then_some(report)
+        (!self.is_silent && (self.is_pushed || now.since(*at) < REPORT_LIFETIME)).then_some(report)
     }
 
-    pub fn out(&self, now: Time) -> bool {
-        now < self.out_until
+    pub fn is_ejected(&self, now: Time) -> bool {
+        now < self.ejected_until
     }
 
-    pub fn good(&mut self) {
-        self.fails = 0;
-        self.outs = 0;
+    pub fn record_success(&mut self) {
+        self.failures_in_row = 0;
+        self.ejections = 0;
     }
 
-    pub fn bad(&mut self, now: Time) {
-        self.fails += 1;
-        if self.fails >= FAILS {
-            self.fails = 0;
-            self.outs = (self.outs + 1).min(OUT_MOST);
-            self.out_until = now + Span(OUT.0 << (self.outs - 1));
+    pub fn record_failure(&mut self, now: Time) {
+        self.failures_in_row += 1;
+        if self.failures_in_row >= FAILURES_TO_EJECT {
+            self.failures_in_row = 0;
+            self.ejections = (self.ejections + 1).min(EJECTION_STEPS_MAX);
+            self.ejected_until = now + Span(BASE_EJECTION.0 << (self.ejections - 1));
         }
     }
 
-    pub fn told_load(&mut self, now: Time, load: Load) {
-        self.others = (load.running + load.waiting).saturating_sub(self.mine);
-        self.slots = load.slots;
-        self.load_at = now;
+    pub fn on_load(&mut self, now: Time, load: Load) {
+        self.other_requests = (load.running + load.waiting).saturating_sub(self.own_requests);
+        self.reported_slots = load.slots;
+        self.load_reported_at = now;
         if let Some((at, r)) = &mut self.report {
             *at = now;
             r.running = load.running;
@@ -92,13 +92,13 @@
     }
 
     /// What runs there by the runner's own last word; an old word counts less.
-    pub fn burden(&self, now: Time) -> u64 {
-        let old = now.since(self.load_at).0 / OLD.0;
-        self.mine + (self.others >> old.min(8))
+    pub fn decayed_load(&self, now: Time) -> u64 {
+        let old = now.since(self.load_reported_at).0 / LOAD_HALVING_PERIOD.0;
+        self.own_requests + (self.other_requests >> old.min(8))
     }
 
-    pub fn full(&mut self, now: Time) {
-        self.full_until = now + FULL;
+    pub fn mark_full(&mut self, now: Time) {
+        self.full_until = now + FULL_PAUSE;
     }
 
     pub fn is_full(&self, now: Time) -> bool {
@@ -106,16 +106,17 @@
     }
 
     /// It could not be reached, or is silent: nothing more is sent there for a while.
-    pub fn away(&mut self, now: Time) {
-        self.out_until = self.out_until.max(now + Span(AWAY.0 << self.outs.min(2)));
-        self.outs = (self.outs + 1).min(OUT_MOST);
-        self.fails = 0;
+    pub fn eject_unreachable(&mut self, now: Time) {
+        self.ejected_until =
+            self.ejected_until.max(now + Span(UNREACHABLE_EJECTION.0 << self.ejections.min(2)));
+        self.ejections = (self.ejections + 1).min(EJECTION_STEPS_MAX);
+        self.failures_in_row = 0;
     }
 
     pub fn load(&self, now: Time) -> u64 {
-        if self.fresh(now).is_none() {
+        if self.fresh_report(now).is_none() {
             return u64::MAX;
         }
-        self.others + self.mine
+        self.other_requests + self.own_requests
     }
 }
--- a/src/gate/held.rs
+++ b/src/gate/held.rs
@@ -1,84 +1,84 @@
-use super::core::Gate;
-use super::order::Order;
-use super::pace::Rate;
+use super::core::Balancer;
+use super::order::RequestSpec;
+use super::pace::RateMeter;
 use crate::fleet::holdings::{NameUsage, RunnerHoldings, UnmetDemand};
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 use crate::msg::RouterReport;
 use std::sync::Arc;
 
-const USED: Span = Span::ms(8000);
+const USE_RETENTION: Span = Span::ms(8000);
 
-pub type Asker = Arc<dyn Fn(UnmetDemand) + Send + Sync>;
+pub type LoadRequester = Arc<dyn Fn(UnmetDemand) + Send + Sync>;
 
 #[derive(Default, Debug)]
-pub struct Used {
-    last: Time,
-    rate: Rate,
+pub struct UseStats {
+    last_used_at: Time,
+    rate: RateMeter,
 }
 
-impl Gate {
+impl Balancer {
     /// What the placement holder tells of a runner.
-    pub fn held(&mut self, now: Time, row: &RunnerHoldings) -> bool {
+    pub fn on_holdings(&mut self, now: Time, row: &RunnerHoldings) -> bool {
         let Some(h) = self.health.get_mut(&row.runner) else { return false };
-        let new = h.held(now, row);
+        let new = h.on_holdings(now, row);
         if let (true, Some((_, report))) = (new, &h.report) {
-            self.pace.told(now, report);
+            self.throughput.on_report(now, report);
         }
         true
     }
 
     /// The runner says that it lacks what the order names.
-    pub fn lacks(&mut self, now: Time, runner: &Name, order: &Order) {
-        let name = if order.adapter.is_empty() { &order.model } else { &order.adapter };
+    pub fn on_missing_weights(&mut self, now: Time, runner: &Name, spec: &RequestSpec) {
+        let name = if spec.adapter.is_empty() { &spec.model } else { &spec.adapter };
         if let Some(h) = self.health.get_mut(runner) {
-            h.lacks(name);
+            h.forget_weights(name);
         }
-        self.ask(order, name);
-        self.wake(now);
+        self.request_load(spec, name);
+        self.route_waiting(now);
     }
 
-    fn ask(&self, order: &Order, name: &str) {
-        let Some(asker) = &self.asker else { return };
-        let (service, name) = (self.name.clone(), Name::from(name));
-        asker(UnmetDemand { service, name, class: order.class, count: 1 });
+    fn request_load(&self, spec: &RequestSpec, name: &str) {
+        let Some(asker) = &self.load_requester else { return };
+        let (service, name) = (self.service.clone(), Name::from(name));
+        asker(UnmetDemand { service, name, class: spec.class, count: 1 });
     }
 
-    pub fn seek(&self, now: Time, order: &Order) {
-        for name in [&order.model, &order.adapter] {
-            if name.is_empty() || self.demand.get(name.as_str()).is_some_and(|r| r.contains_key(&order.id)) {
+    pub fn request_missing_loads(&self, now: Time, spec: &RequestSpec) {
+        for name in [&spec.model, &spec.adapter] {
+            if name.is_empty() || self.demand.get(name.as_str()).is_some_and(|r| r.contains_key(&spec.id)) {
                 continue;
             }
             let known = Name::from(name.as_str());
             let fit = |n: &Name| self.health.get(n).is_some_and(|h| h.holds(now, &known));
             let staying = self.slice.iter().flat_map(|s| &s.runners).filter(|r| !r.leaving);
             if !staying.map(|r| &r.instance).any(fit) {
-                self.ask(order, name);
+                self.request_load(spec, name);
             }
         }
     }
 
-    pub fn used(&mut self, now: Time, order: &Order) {
-        for name in [&order.model, &order.adapter] {
+    pub fn record_use(&mut self, now: Time, spec: &RequestSpec) {
+        for name in [&spec.model, &spec.adapter] {
             if !name.is_empty() {
                 let row = self.uses.entry(name.to_string()).or_default();
-                row.last = now;
+                row.last_used_at = now;
                 row.rate.add(now);
             }
         }
     }
 
-    pub fn tell_uses(&mut self, now: Time, out: &mut RouterReport) {
-        self.uses.retain(|_, u| now.since(u.last) < USED);
+    pub fn report_uses(&mut self, now: Time, out: &mut RouterReport) {
+        self.uses.retain(|_, u| now.since(u.last_used_at) < USE_RETENTION);
         for (name, u) in &self.uses {
             out.uses.push(NameUsage {
-                service: self.name.clone(),
+                service: self.service.clone(),
                 name: Name::from(name.as_str()),
-                idle: now.since(u.last),
+                idle: now.since(u.last_used_at),
                 milli_per_s: (u.rate.per_s(now) * 1000.0) as u64,
             });
         }
-        let runs = self.active.iter().filter(|r| !r.0.1.0.is_empty());
+        let runs = self.active_requests.iter().filter(|r| !r.0.1.0.is_empty());
         out.active.extend(runs.map(|((runner, model), n)| (runner.clone(), model.clone(), *n)));
     }
 }
--- a/src/gate/kept.rs
+++ b/src/gate/kept.rs
@@ -1,55 +1,55 @@
-use super::order::Order;
+use super::order::RequestSpec;
 use crate::kernel::ids::Name;
 use crate::kernel::rand::mix;
 use std::collections::{HashMap, VecDeque};
 
-const MOST: usize = 4096;
+const MAX_PARTS_PER_RUNNER: usize = 4096;
 
 /// Which parts of prompts each runner was sent lately, for which weights.
 #[derive(Default, Debug)]
-pub struct Kept {
-    rows: HashMap<Name, Shelf>,
+pub struct PromptCaches {
+    by_runner: HashMap<Name, RunnerPromptCache>,
 }
 
 #[derive(Default, Debug)]
-struct Shelf {
-    there: HashMap<u64, u32>,
-    line: VecDeque<u64>,
+struct RunnerPromptCache {
+    tokens_by_part: HashMap<u64, u32>,
+    oldest_first: VecDeque<u64>,
 }
 
-fn keys(order: &Order) -> impl Iterator<Item = (u64, u32)> + '_ {
-    let mut at = crate::kernel::rand::hash(&order.model, crate::kernel::rand::hash(&order.adapter, 7));
-    order.parts.iter().map(move |(id, n)| {
+fn keys(spec: &RequestSpec) -> impl Iterator<Item = (u64, u32)> + '_ {
+    let mut at = crate::kernel::rand::hash(&spec.model, crate::kernel::rand::hash(&spec.adapter, 7));
+    spec.prompt_parts.iter().map(move |(id, n)| {
         at = mix(at ^ mix(*id));
         (at, *n)
     })
 }
 
-impl Kept {
+impl PromptCaches {
     /// Tokens of the order's leading parts that the runner is likely to keep.
-    pub fn of(&self, runner: &Name, order: &Order) -> u32 {
-        let Some(shelf) = self.rows.get(runner) else { return 0 };
-        keys(order).take_while(|(k, _)| shelf.there.contains_key(k)).map(|(_, n)| n).sum()
+    pub fn cached_tokens(&self, runner: &Name, spec: &RequestSpec) -> u32 {
+        let Some(shelf) = self.by_runner.get(runner) else { return 0 };
+        keys(spec).take_while(|(k, _)| shelf.tokens_by_part.contains_key(k)).map(|(_, n)| n).sum()
     }
 
-    pub fn sent(&mut self, runner: &Name, order: &Order) {
-        if order.parts.is_empty() {
+    pub fn record_sent(&mut self, runner: &Name, spec: &RequestSpec) {
+        if spec.prompt_parts.is_empty() {
             return;
         }
-        let shelf = self.rows.entry(runner.clone()).or_default();
-        for (k, n) in keys(order) {
-            if shelf.there.insert(k, n).is_none() {
-                shelf.line.push_back(k);
+        let shelf = self.by_runner.entry(runner.clone()).or_default();
+        for (k, n) in keys(spec) {
+            if shelf.tokens_by_part.insert(k, n).is_none() {
+                shelf.oldest_first.push_back(k);
             }
         }
-        while shelf.line.len() > MOST {
-            if let Some(old) = shelf.line.pop_front() {
-                shelf.there.remove(&old);
+        while shelf.oldest_first.len() > MAX_PARTS_PER_RUNNER {
+            if let Some(old) = shelf.oldest_first.pop_front() {
+                shelf.tokens_by_part.remove(&old);
             }
         }
     }
 
-    pub fn keep(&mut self, listed: &dyn Fn(&Name) -> bool) {
-        self.rows.retain(|n, _| listed(n));
+    pub fn retain_runners(&mut self, listed: &dyn Fn(&Name) -> bool) {
+        self.by_runner.retain(|n, _| listed(n));
     }
 }
--- a/src/gate/learn.rs
+++ b/src/gate/learn.rs
@@ -1,4 +1,4 @@
-use super::core::Gate;
+use super::core::Balancer;
 use super::wait::QUIET;
 use crate::fleet::runner::RunnerReport;
 use crate::fleet::slice::ServiceSlice;
@@ -6,32 +6,32 @@
 use crate::kernel::time::Time;
 use std::sync::Arc;
 
-impl Gate {
-    pub fn report(&mut self, now: Time, runner: &Name, report: RunnerReport) {
-        self.pace.told(now, &report);
-        self.health.entry(runner.clone()).or_default().told(now, report);
+impl Balancer {
+    pub fn on_report(&mut self, now: Time, runner: &Name, report: RunnerReport) {
+        self.throughput.on_report(now, &report);
+        self.health.entry(runner.clone()).or_default().on_report(now, report);
     }
 
-    pub fn learn(&mut self, at: Version, slice: ServiceSlice, now: Time) {
-        if at < self.at {
+    pub fn apply_slice(&mut self, at: Version, slice: ServiceSlice, now: Time) {
+        if at < self.slice_version {
             return;
         }
-        self.at = at;
-        self.gone = false;
+        self.slice_version = at;
+        self.is_withdrawn = false;
         let old = self.slice.as_ref().map(|s| s.duty);
         if old.is_some_and(|t| t != slice.duty) {
-            self.pace.quiet_until = now + QUIET;
+            self.throughput.quiet_until = now + QUIET;
         }
-        self.pace.learn(&slice);
-        self.tries.percent = slice.budget.percent as f64;
-        self.tries.share = slice.budget.allowance as f64 / self.routers.max(1) as f64;
-        self.kept.keep(&|n| slice.runners.iter().any(|r| r.instance == *n));
+        self.throughput.retain_models(&slice);
+        self.retry_budget.credit_percent = slice.budget.percent as f64;
+        self.retry_budget.credit_limit = slice.budget.allowance as f64 / self.router_count.max(1) as f64;
+        self.prompt_caches.retain_runners(&|n| slice.runners.iter().any(|r| r.instance == *n));
         self.health.retain(|name, _| slice.runners.iter().any(|r| r.instance == *name));
         for r in &slice.runners {
             self.health.entry(r.instance.clone()).or_default();
         }
-        self.moves.retain(|id, _| slice.moves.iter().any(|m| m.id == *id));
+        self.move_reports.retain(|id, _| slice.moves.iter().any(|m| m.id == *id));
         self.slice = Some(Arc::new(slice));
-        self.wake(now);
+        self.route_waiting(now);
     }
 }
--- a/src/gate/lease.rs
+++ b/src/gate/lease.rs
@@ -1,22 +1,22 @@
 //! Serving leases as the gates see them.
 
-use super::table::Table;
+use super::table::BalancerTable;
 use crate::fleet::state::Scope;
 use crate::kernel::time::Time;
 
-impl Table {
+impl BalancerTable {
     /// These topics may be served by until then; requests that waited for a proof go on.
-    pub fn lease(&self, now: Time, scopes: &[Scope], until: Time) {
+    pub fn extend_leases(&self, now: Time, scopes: &[Scope], until: Time) {
         for scope in scopes {
             match scope {
-                Scope::Routes => self.lease_routes(now, until),
+                Scope::Routes => self.extend_routes_lease(now, until),
                 Scope::Service(name) => {
-                    let Some(gate) = self.gate(name) else { continue };
-                    let mut gate = gate.lock().unwrap();
-                    let stale = !gate.is_fresh(now);
-                    gate.leased_until = gate.leased_until.max(until);
+                    let Some(balancer) = self.get(name) else { continue };
+                    let mut balancer = balancer.lock().unwrap();
+                    let stale = !balancer.is_fresh(now);
+                    balancer.leased_until = balancer.leased_until.max(until);
                     if stale {
-                        gate.wake(now);
+                        balancer.route_waiting(now);
                     }
                 }
                 Scope::Candidate | Scope::Duty => {}
@@ -24,17 +24,17 @@
         }
     }
 
-    fn lease_routes(&self, now: Time, until: Time) {
+    fn extend_routes_lease(&self, now: Time, until: Time) {
         let mut leased = self.routes_leased_until.write().unwrap();
         *leased = (*leased).max(until);
         let until = *leased;
         drop(leased);
-        for gate in self.gates() {
-            let mut gate = gate.lock().unwrap();
-            let stale = !gate.is_fresh(now);
-            gate.routes_leased_until = until;
+        for balancer in self.balancers() {
+            let mut balancer = balancer.lock().unwrap();
+            let stale = !balancer.is_fresh(now);
+            balancer.routes_leased_until = until;
             if stale {
-                gate.wake(now);
+                balancer.route_waiting(now);
             }
         }
     }
--- a/src/gate/order.rs
+++ b/src/gate/order.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct RequestSpec {
     pub id: u64,
     pub service: Name,
     pub class: Class,
@@ -18,29 +18,29 @@
     pub model: CompactString,
     pub adapter: CompactString,
     pub prefix: CompactString,
-    pub resumable: bool,
-    pub due: Time,
-    pub end: Time,
+    pub is_resumable: bool,
+    pub start_deadline: Time,
+    pub answer_deadline: Time,
     /// When an answer that has begun is broken off, if its route bounds the whole of it.
-    pub whole_by: Option<Time>,
-    pub last: Option<String>,
-    pub resumed: bool,
+    pub completion_deadline: Option<Time>,
+    pub last_event_id: Option<String>,
+    pub is_resumed: bool,
     pub host: CompactString,
     pub path: CompactString,
     pub routes_version: Version,
-    pub kind: RouteKind,
-    pub tries: u64,
-    pub aim: Span,
-    pub gap: Span,
-    pub size: Size,
-    pub parts: Parts,
+    pub route_kind: RouteKind,
+    pub max_attempts: u64,
+    pub target_latency: Span,
+    pub target_gap: Span,
+    pub token_counts: TokenCounts,
+    pub prompt_parts: PromptParts,
     /// What runs of this request at different runners have in common.
-    pub runs: RunContract,
+    pub run_contract: RunContract,
 }
 
-impl Default for Order {
-    fn default() -> Order {
-        Order {
+impl Default for RequestSpec {
+    fn default() -> RequestSpec {
+        RequestSpec {
             id: 0,
             service: Name::default(),
             class: Class::Normal,
@@ -49,22 +49,22 @@
             model: "".into(),
             adapter: "".into(),
             prefix: "".into(),
-            resumable: false,
-            due: Time(0),
-            end: Time(0),
-            whole_by: None,
-            last: None,
-            resumed: false,
+            is_resumable: false,
+            start_deadline: Time(0),
+            answer_deadline: Time(0),
+            completion_deadline: None,
+            last_event_id: None,
+            is_resumed: false,
             host: "".into(),
             path: "".into(),
             routes_version: Version(0),
-            kind: RouteKind::Once,
-            tries: 16,
-            aim: Span(0),
-            gap: Span(0),
-            size: Size::default(),
-            parts: Parts::default(),
-            runs: RunContract::default(),
+            route_kind: RouteKind::Once,
+            max_attempts: 16,
+            target_latency: Span(0),
+            target_gap: Span(0),
+            token_counts: TokenCounts::default(),
+            prompt_parts: PromptParts::default(),
+            run_contract: RunContract::default(),
         }
     }
 }
@@ -76,121 +76,125 @@
     pub class: Class,
 }
 
-impl Order {
+impl RequestSpec {
     /// Where it stands among requests that wait.
     pub fn urgency(&self) -> Urgency {
         Urgency { rank: self.rank, class: self.class }
     }
 }
 
-pub type Parts = std::sync::Arc<[(u64, u32)]>;
+pub type PromptParts = std::sync::Arc<[(u64, u32)]>;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Size {
+pub struct TokenCounts {
     pub prompt: u32,
-    pub out: u32,
+    pub output: u32,
 }
 
 #[derive(Clone, Debug)]
-pub enum Plan {
+pub enum RoutingDecision {
     Send(Runner),
     Wait(&'static str),
     Refuse(Refusal),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Why {
-    Stale,
+pub enum RefusalReason {
+    StaleConfiguration,
     NoRunner,
-    NoModel,
-    InboxFull,
-    Due,
-    NoBudget,
+    UnknownModel,
+    QueueFull,
+    DeadlinePassed,
+    RetryBudgetSpent,
     Stopping,
-    Gone,
-    Crowded,
-    TooLong,
-    NoRoute,
+    ServiceWithdrawn,
+    DisplacedByHigherClass,
+    WaitTooLong,
+    RouteChanged,
     UnknownKey,
-    KeyPassedOn,
+    KeyReassigned,
     OverQuota,
-    NoQuotaAnswer,
-    Full,
+    QuotaUnknown,
+    RunnersFull,
 }
 
 #[derive(Clone, Debug)]
 pub struct Refusal {
-    pub why: Why,
-    pub wait: Span,
+    pub reason: RefusalReason,
+    pub retry_after: Span,
 }
 
 impl Refusal {
-    pub fn new(why: Why, retry_s: u64) -> Refusal {
-        Refusal { why, wait: Span::ms(retry_s * 1000) }
+    pub fn new(why: RefusalReason, retry_s: u64) -> Refusal {
+        Refusal { reason: why, retry_after: Span::ms(retry_s * 1000) }
     }
 
-    pub fn after(why: Why, wait: Span) -> Refusal {
-        Refusal { why, wait }
+    pub fn after(why: RefusalReason, wait: Span) -> Refusal {
+        Refusal { reason: why, retry_after: wait }
     }
 
     pub fn retry_s(&self) -> u64 {
-        self.wait.0.div_ceil(1_000_000)
+        self.retry_after.0.div_ceil(1_000_000)
     }
 
     pub fn status(&self) -> u16 {
-        match self.why {
-            Why::InboxFull | Why::Crowded | Why::OverQuota => 429,
-            Why::NoModel | Why::Gone | Why::NoRoute => 404,
-            Why::UnknownKey => 401,
+        match self.reason {
+            RefusalReason::QueueFull | RefusalReason::DisplacedByHigherClass | RefusalReason::OverQuota => {
+                429
+            }
+            RefusalReason::UnknownModel | RefusalReason::ServiceWithdrawn | RefusalReason::RouteChanged => {
+                404
+            }
+            RefusalReason::UnknownKey => 401,
             _ => 503,
         }
     }
 
     pub fn code(&self) -> &'static str {
-        match self.why {
-            Why::Stale => "not-fresh",
-            Why::NoRunner => "no-runner",
-            Why::NoModel => "unknown-model",
-            Why::InboxFull => "inbox-full",
-            Why::Due => "due-passed",
-            Why::NoBudget => "no-budget",
-            Why::Stopping => "stopping",
-            Why::Gone => "service-gone",
-            Why::Crowded => "crowded",
-            Why::TooLong => "wait-too-long",
-            Why::NoRoute => "route-changed",
-            Why::UnknownKey => "unknown-key",
-            Why::KeyPassedOn => "key-passed-on",
-            Why::OverQuota => "over-quota",
-            Why::NoQuotaAnswer => "quota-unknown",
-            Why::Full => "runners-full",
+        match self.reason {
+            RefusalReason::StaleConfiguration => "not-fresh",
+            RefusalReason::NoRunner => "no-runner",
+            RefusalReason::UnknownModel => "unknown-model",
+            RefusalReason::QueueFull => "inbox-full",
+            RefusalReason::DeadlinePassed => "due-passed",
+            RefusalReason::RetryBudgetSpent => "no-budget",
+            RefusalReason::Stopping => "stopping",
+            RefusalReason::ServiceWithdrawn => "service-gone",
+            RefusalReason::DisplacedByHigherClass => "crowded",
+            RefusalReason::WaitTooLong => "wait-too-long",
+            RefusalReason::RouteChanged => "route-changed",
+            RefusalReason::UnknownKey => "unknown-key",
+            RefusalReason::KeyReassigned => "key-passed-on",
+            RefusalReason::OverQuota => "over-quota",
+            RefusalReason::QuotaUnknown => "quota-unknown",
+            RefusalReason::RunnersFull => "runners-full",
         }
     }
 
     pub fn text(&self) -> &'static str {
-        match self.why {
-            Why::Stale => {
-                "this router could not prove its configuration current; ask again or ask another router"
+        match self.reason {
+            RefusalReason::StaleConfiguration => {
+                "this router cannot confirm that its configuration is current; retry or ask another router"
             }
-            Why::NoRunner => "no runner of the service can take it now; ask again later",
-            Why::NoModel => "the service does not offer that model or adapter; name one it lists",
-            Why::InboxFull => "too many orders wait for this service; ask again later",
-            Why::Due => "it could not be started within its due; ask again later",
-            Why::NoBudget => {
-                "the first try did not reach a runner and the retry budget is spent; ask again later"
+            RefusalReason::NoRunner => "no runner of the service is available; retry later",
+            RefusalReason::UnknownModel => "the service does not offer this model or adapter",
+            RefusalReason::QueueFull => "too many requests wait for this service; retry later",
+            RefusalReason::DeadlinePassed => "the request could not start before its deadline; retry later",
+            RefusalReason::RetryBudgetSpent => {
+                "the first attempt did not reach a runner and the retry budget is spent; retry later"
             }
-            Why::Stopping => "this router is stopping; ask another router",
-            Why::TooLong => "the wait for a runner is expected to pass its due; ask again after Retry-After",
-            Why::NoRoute => {
-                "its route was changed while it waited; see the current configuration and ask again"
+            RefusalReason::Stopping => "this router is stopping; ask another router",
+            RefusalReason::WaitTooLong => "the expected wait exceeds the deadline; retry after Retry-After",
+            RefusalReason::RouteChanged => {
+                "its route changed while the request waited; read the current configuration and retry"
             }
-            Why::KeyPassedOn => "its key was given to another tenant while it waited; ask again",
-            Why::UnknownKey => "it carries no key of a tenant; send a key that the configuration names",
-            Why::OverQuota => "its tenant's quota (rate and burst) is used up; ask again after Retry-After",
-            Why::NoQuotaAnswer => "the controller that counts its tenant's quota did not answer; ask again",
-            Why::Full => "the runners tried turned it away; ask again after Retry-After",
-            Why::Gone => "the service was withdrawn; see the current configuration",
-            Why::Crowded => "orders of a higher class fill the inbox; ask again later",
+            RefusalReason::KeyReassigned => "its key was assigned to another tenant meanwhile; retry",
+            RefusalReason::UnknownKey => "no valid API key; send a key that the configuration names",
+            RefusalReason::OverQuota => "the tenant's quota is used up; retry after Retry-After",
+            RefusalReason::QuotaUnknown => "the controller that counts the quota did not answer; retry",
+            RefusalReason::RunnersFull => "the runners tried were full; retry after Retry-After",
+            RefusalReason::ServiceWithdrawn => "the service was withdrawn; read the configuration",
+            RefusalReason::DisplacedByHigherClass => "requests of a higher class fill the queue; retry",
         }
     }
 }
--- a/src/gate/rehearse.rs
+++ b/src/gate/rehearse.rs
@@ -1,4 +1,4 @@
-use super::table::Table;
+use super::table::BalancerTable;
 use crate::fleet::config::{FleetConfig, ServiceKind};
 use crate::fleet::routes::RouteTable;
 use crate::fleet::slice::route_rows;
@@ -23,20 +23,20 @@
     Ok(())
 }
 
-fn held(table: &Table, now: Time, k: &Kept) -> bool {
-    let Some(gate) = table.gate(&k.service) else { return false };
-    let g = gate.lock().unwrap();
+fn held(table: &BalancerTable, now: Time, k: &Kept) -> bool {
+    let Some(balancer) = table.get(&k.service) else { return false };
+    let g = balancer.lock().unwrap();
     let Some(s) = &g.slice else { return false };
     if s.service.sort == ServiceKind::Plain {
         return !s.runners.is_empty();
     }
     let holds = |r: &crate::fleet::runner::Runner| {
-        g.health.get(&r.instance).and_then(|h| h.fresh(now)).is_some_and(|rep| rep.has(&k.model))
+        g.health.get(&r.instance).and_then(|h| h.fresh_report(now)).is_some_and(|rep| rep.has(&k.model))
     };
     s.runners.iter().any(|r| !r.leaving && holds(r))
 }
 
-fn gated(table: &Table, c: &FleetConfig, rows: &RouteTable, k: &Kept) -> Result<(), String> {
+fn gated(table: &BalancerTable, c: &FleetConfig, rows: &RouteTable, k: &Kept) -> Result<(), String> {
     if k.path.is_empty() {
         return Ok(());
     }
@@ -49,29 +49,29 @@
     if k.kb > row.route.body_kb {
         return Err(format!("a body of {} KB is over the route's {}", k.kb, row.route.body_kb));
     }
-    let (Some(gate), Some(new)) = (table.gate(&k.service), c.service(&k.service)) else { return Ok(()) };
-    let g = gate.lock().unwrap();
-    let waiting = g.inbox.len() as u64;
+    let (Some(balancer), Some(new)) = (table.get(&k.service), c.service(&k.service)) else { return Ok(()) };
+    let g = balancer.lock().unwrap();
+    let waiting = g.queue.len() as u64;
     if waiting > new.inbox {
         return Err(format!("{waiting} orders wait and the inbox would take {}", new.inbox));
     }
     let old = g.slice.as_ref().map_or(new.slots, |s| s.service.slots);
     let slower = old.max(1) as f64 / new.slots.clamp(1, old.max(1)) as f64;
-    let held = g.pace.held(k.model.0.as_str()).unwrap_or(0.0) * (slower - 1.0);
-    let wait = (if waiting > 0 { g.waits.0 as f64 * slower } else { held }) / 1000.0;
+    let held = g.throughput.occupancy_us(k.model.0.as_str()).unwrap_or(0.0) * (slower - 1.0);
+    let wait = (if waiting > 0 { g.last_expected_wait.0 as f64 * slower } else { held }) / 1000.0;
     if wait > row.route.due_ms as f64 {
         return Err(format!("the wait would be {wait:.0} ms, its due is {}", row.route.due_ms));
     }
     Ok(())
 }
 
-const LIVE: usize = 8;
+const LIVE_ROUTES_MAX: usize = 8;
 
 /// The routes of the last orders, the most used first.
-pub fn live(table: &Table, now: Time, seen: &[Kept]) -> Vec<RouteTraffic> {
+pub fn live(table: &BalancerTable, now: Time, seen: &[Kept]) -> Vec<RouteTraffic> {
     let mut rows: Vec<RouteTraffic> = Vec::new();
     for k in seen {
-        let Some((_, Some(r))) = table.find(now, &k.host, &k.path) else { continue };
+        let Some((_, Some(r))) = table.find_route(now, &k.host, &k.path) else { continue };
         match rows.iter_mut().find(|l| l.host == r.route.host && l.prefix == r.route.prefix) {
             Some(l) => l.orders += 1,
             None => rows.push(RouteTraffic {
@@ -83,11 +83,16 @@
         }
     }
     rows.sort_by_key(|l| std::cmp::Reverse(l.orders));
-    rows.truncate(LIVE);
+    rows.truncate(LIVE_ROUTES_MAX);
     rows
 }
 
-pub fn rehearse(table: &Table, clock: &dyn Clock, trial: &Candidate, seen: &[Kept]) -> RehearsalResult {
+pub fn rehearse(
+    table: &BalancerTable,
+    clock: &dyn Clock,
+    trial: &Candidate,
+    seen: &[Kept],
+) -> RehearsalResult {
     let mut out = RehearsalResult { id: trial.id, ..RehearsalResult::default() };
     let samples = trial.config.rollout.samples.iter();
     let samples: Vec<Kept> = samples
--- a/src/http/answer.rs
+++ b/src/http/answer.rs
@@ -31,9 +31,9 @@
 }
 
 pub fn refused(side: &dyn CallerProtocol, r: &Refusal) -> Response<OutBody> {
-    let mut out = own(r.status(), r.code(), r.text(), r.wait.0.div_ceil(1_000_000), "refused");
+    let mut out = own(r.status(), r.code(), r.text(), r.retry_after.0.div_ceil(1_000_000), "refused");
     if out.headers().contains_key("retry-after")
-        && let Ok(v) = side.retry_after(r.wait).parse()
+        && let Ok(v) = side.retry_after(r.retry_after).parse()
     {
         out.headers_mut().insert("retry-after", v);
     }
--- a/src/http/attempt.rs
+++ b/src/http/attempt.rs
@@ -8,7 +8,7 @@
 use crate::fleet::runner::Runner;
 use crate::forwarding::In;
 use crate::forwarding::request::AttemptNo;
-use crate::gate::order::{Order, Why};
+use crate::gate::order::{RefusalReason, RequestSpec};
 use crate::kernel::time::Clock;
 use crate::protocol::RunnerProtocol;
 use bytes::Bytes;
@@ -78,7 +78,7 @@
     let heads = order.headers_mut();
     heads.remove("content-length");
     heads.remove("expect");
-    let left = job.order.end.since(job.clock.now());
+    let left = job.order.answer_deadline.since(job.clock.now());
     job.side.add_request_headers(heads, runner, &job.order, job.last.as_deref(), left);
     if let (false, Ok(host)) = (heads.contains_key("host"), HeaderValue::from_str(&runner.addr.to_string())) {
         heads.insert("host", host);
@@ -91,13 +91,13 @@
     pub no: AttemptNo,
     pub runner: Runner,
     pub last: Option<String>,
-    pub order: Order,
+    pub order: RequestSpec,
     pub side: Arc<dyn RunnerProtocol>,
     pub clock: Arc<dyn Clock>,
     pub shape: Arc<ForwardedRequest>,
     pub pool: Arc<Pool>,
     pub check: Check,
-    pub why: Box<dyn Fn() -> Option<Why> + Send + Sync>,
+    pub why: Box<dyn Fn() -> Option<RefusalReason> + Send + Sync>,
     pub tx: mpsc::Sender<AttemptEvent>,
 }
 
@@ -124,7 +124,7 @@
         Ok(done) => done,
         Err(SendError::NotSent) => return drop(say(In::OpenFailed { attempt, why: None }).await),
         Err(SendError::Barred) => {
-            let why = (job.why)().or(Some(Why::Stale));
+            let why = (job.why)().or(Some(RefusalReason::StaleConfiguration));
             return drop(say(In::OpenFailed { attempt, why }).await);
         }
         Err(SendError::Unsure) => return drop(say(In::Lost { attempt }).await),
@@ -158,7 +158,7 @@
     let stream = kind.starts_with("text/event-stream");
     let end = answer.end();
     let mut whole = None;
-    if job.order.kind == RouteKind::Idempotent && !stream {
+    if job.order.route_kind == RouteKind::Idempotent && !stream {
         match answer.collect(WHOLE_LIMIT).await {
             Ok(body) => whole = Some(body),
             Err(BodyBroken) => return drop(say(In::Lost { attempt }).await),
--- a/src/http/forward.rs
+++ b/src/http/forward.rs
@@ -6,7 +6,7 @@
 use super::pool::Pool;
 use crate::forwarding::request::AttemptNo;
 use crate::forwarding::{In, Out, RequestFlow};
-use crate::gate::{Gate, Order, Plan};
+use crate::gate::{Balancer, RequestSpec, RoutingDecision};
 use crate::kernel::time::Clock;
 use crate::protocol::{CallerProtocol, Protocols, RunnerProtocol};
 use bytes::Bytes;
@@ -24,7 +24,7 @@
 
 /// The work on one request.
 pub struct Forwarder {
-    pub gate: Arc<Mutex<Gate>>,
+    pub balancer: Arc<Mutex<Balancer>>,
     pub pool: Arc<Pool>,
     pub clock: Arc<dyn Clock>,
     pub shape: Arc<ForwardedRequest>,
@@ -34,7 +34,7 @@
     attempts: BTreeMap<AttemptNo, JoinHandle<()>>,
     heads: BTreeMap<AttemptNo, (u16, HeaderMap)>,
     tx: mpsc::Sender<AttemptEvent>,
-    woken: mpsc::UnboundedSender<Plan>,
+    woken: mpsc::UnboundedSender<RoutingDecision>,
     first: Option<oneshot::Sender<Response<OutBody>>>,
     body: Option<BodyWriter>,
 }
@@ -49,14 +49,14 @@
 
 /// A request to be forwarded.
 pub struct ForwardJob {
-    pub order: Order,
+    pub order: RequestSpec,
     pub shape: Arc<ForwardedRequest>,
     pub protocols: Protocols,
 }
 
 /// Forwards a request until its answer is whole, broken off or nobody waits for it any more.
 pub async fn forward(
-    gate: Arc<Mutex<Gate>>,
+    balancer: Arc<Mutex<Balancer>>,
     pool: Arc<Pool>,
     clock: Arc<dyn Clock>,
     job: ForwardJob,
@@ -65,7 +65,7 @@
     let (tx, mut rx) = mpsc::channel(16);
     let (woken, mut wakes) = mpsc::unbounded_channel();
     let mut c = Forwarder {
-        gate,
+        balancer,
         pool,
         clock,
         shape: job.shape,
@@ -114,7 +114,7 @@
 impl Forwarder {
     async fn step(&mut self, ev: In) {
         let now = self.clock.now();
-        let outs = self.request.step(now, ev, &mut self.gate.lock().unwrap());
+        let outs = self.request.step(now, ev, &mut self.balancer.lock().unwrap());
         for out in outs {
             if self.act(out).await == Acted::ClientGone {
                 return self.client_gone();
@@ -126,9 +126,9 @@
         match out {
             Out::Wait { avoid } => {
                 let woken = self.woken.clone();
-                let wake = Box::new(move |plan: Plan| woken.send(plan).map_err(|back| back.0));
+                let wake = Box::new(move |plan: RoutingDecision| woken.send(plan).map_err(|back| back.0));
                 let now = self.clock.now();
-                self.gate.lock().unwrap().wait(now, self.request.order.clone(), avoid, wake);
+                self.balancer.lock().unwrap().wait(now, self.request.spec.clone(), avoid, wake);
             }
             Out::Open { attempt, runner, last } => self.open(attempt, runner, last),
             Out::Close { attempt } => {
@@ -144,7 +144,7 @@
                 }
             }
             Out::Break(why) => {
-                log::info!(event = "answer-broken-off", service = self.request.order.service.to_string(), why = why; "");
+                log::info!(event = "answer-broken-off", service = self.request.spec.service.to_string(), why = why; "");
                 self.body = None;
             }
             Out::Refuse(r) => self.answer(refused(&*self.caller, &r)),
@@ -152,7 +152,7 @@
                 self.answer(own(status, "outcome-unknown", text, 0, "unknown"));
             }
             Out::Told(what, text) => {
-                log::info!(event = what, service = self.request.order.service.to_string(), note = text; "");
+                log::info!(event = what, service = self.request.spec.service.to_string(), note = text; "");
             }
         }
         Acted::Done
@@ -160,16 +160,16 @@
 
     fn open(&mut self, no: AttemptNo, runner: crate::fleet::runner::Runner, last: Option<String>) {
         let check = {
-            let (gate, clock) = (self.gate.clone(), self.clock.clone());
-            let (order, name) = (self.request.order.clone(), runner.instance.clone());
-            move || gate.lock().unwrap().check(clock.now(), &order, &name).err()
+            let (balancer, clock) = (self.balancer.clone(), self.clock.clone());
+            let (order, name) = (self.request.spec.clone(), runner.instance.clone());
+            move || balancer.lock().unwrap().check_before_send(clock.now(), &order, &name).err()
         };
         let again = check.clone();
         let job = Attempt {
             no,
             runner,
             last,
-            order: self.request.order.clone(),
+            order: self.request.spec.clone(),
             side: self.side.clone(),
             clock: self.clock.clone(),
             shape: self.shape.clone(),
@@ -202,7 +202,8 @@
 
     async fn pass(&mut self, bytes: Bytes) -> Acted {
         let Some(body) = &self.body else { return Acted::Done };
-        let by = self.request.order.whole_by.map_or(STALL, |by| by.since(self.clock.now()).as_std());
+        let by =
+            self.request.spec.completion_deadline.map_or(STALL, |by| by.since(self.clock.now()).as_std());
         match tokio::time::timeout(STALL.min(by), body.send(bytes)).await {
             Ok(Ok(())) => Acted::Done,
             _ => Acted::ClientGone,
@@ -213,7 +214,7 @@
     fn client_gone(&mut self) {
         self.body = None;
         let now = self.clock.now();
-        self.request.step(now, In::Gone, &mut self.gate.lock().unwrap());
+        self.request.step(now, In::Gone, &mut self.balancer.lock().unwrap());
         for attempt in std::mem::take(&mut self.attempts).into_values() {
             attempt.abort();
         }
@@ -224,9 +225,9 @@
     /// A forwarding that ends before its request does leaves no waiter, slot or run behind.
     fn drop(&mut self) {
         if !self.request.over
-            && let Ok(mut gate) = self.gate.lock()
+            && let Ok(mut balancer) = self.balancer.lock()
         {
-            self.request.step(self.clock.now(), In::Gone, &mut gate);
+            self.request.step(self.clock.now(), In::Gone, &mut balancer);
         }
         for h in self.attempts.values() {
             h.abort();
--- a/src/http/own.rs
+++ b/src/http/own.rs
@@ -1,7 +1,7 @@
 use crate::fleet::config::Route;
 use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::tenants::KeyDigest;
-use crate::gate::order::Order;
+use crate::gate::order::RequestSpec;
 use crate::json::Tree;
 use crate::json::tree::map;
 use crate::kernel::time::Span;
@@ -82,7 +82,7 @@
         &self,
         heads: &mut HeaderMap,
         runner: &Runner,
-        order: &Order,
+        order: &RequestSpec,
         last: Option<&str>,
         _left: Span,
     ) {
--- a/src/http/quota.rs
+++ b/src/http/quota.rs
@@ -2,8 +2,8 @@
 #![deny(missing_docs)]
 
 use crate::constraints::shares::QuotaDecision;
-use crate::gate::order::Why;
-use crate::gate::{Order, Refusal, Table};
+use crate::gate::order::RefusalReason;
+use crate::gate::{BalancerTable, Refusal, RequestSpec};
 use crate::kernel::time::Clock;
 use tokio::sync::oneshot;
 
@@ -11,14 +11,18 @@
 const UNANSWERED_RETRY_S: u64 = 1;
 
 /// Waits for a token, at most until the request's due. Requests without a tenant or without a quota need none.
-pub async fn take_token(table: &Table, clock: &dyn Clock, order: &Order) -> Result<(), Refusal> {
+pub async fn take_token(
+    table: &BalancerTable,
+    clock: &dyn Clock,
+    order: &RequestSpec,
+) -> Result<(), Refusal> {
     let Some(tenant) = order.credential.as_ref().map(|credential| &credential.tenant) else { return Ok(()) };
     if tenant.quota.is_none() {
         return Ok(());
     }
     let (told, decision) = oneshot::channel();
     let wake = Box::new(move |decision| told.send(decision).is_ok());
-    let at_once = table.quota.lock().unwrap().request(clock.now(), &tenant.name, order.due, wake);
+    let at_once = table.quota.lock().unwrap().request(clock.now(), &tenant.name, order.start_deadline, wake);
     match at_once {
         Some(decided) => outcome(decided),
         None => outcome(decision.await.unwrap_or(QuotaDecision::Unanswered)),
@@ -29,7 +33,7 @@
 pub fn outcome(decision: QuotaDecision) -> Result<(), Refusal> {
     match decision {
         QuotaDecision::Granted => Ok(()),
-        QuotaDecision::Blocked(wait) => Err(Refusal::after(Why::OverQuota, wait)),
-        QuotaDecision::Unanswered => Err(Refusal::new(Why::NoQuotaAnswer, UNANSWERED_RETRY_S)),
+        QuotaDecision::Blocked(wait) => Err(Refusal::after(RefusalReason::OverQuota, wait)),
+        QuotaDecision::Unanswered => Err(Refusal::new(RefusalReason::QuotaUnknown, UNANSWERED_RETRY_S)),
     }
 }
--- a/src/http/sender.rs
+++ b/src/http/sender.rs
@@ -1,4 +1,4 @@
-use crate::gate::Order;
+use crate::gate::RequestSpec;
 use crate::kernel::ids::Name;
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -21,7 +21,7 @@
 }
 
 impl Seen {
-    pub fn add(&self, order: &Order, host: &str, path: &str, bytes: usize) {
+    pub fn add(&self, order: &RequestSpec, host: &str, path: &str, bytes: usize) {
         let mut rows = self.rows.lock().unwrap();
         rows.push_back(Kept {
             service: order.service.clone(),
--- a/src/http/serve.rs
+++ b/src/http/serve.rs
@@ -7,8 +7,8 @@
 use crate::fleet::config::ServiceKind;
 use crate::fleet::slice::RouteRow;
 use crate::gate::admission::admit;
-use crate::gate::order::Why;
-use crate::gate::{Order, Refusal, Table};
+use crate::gate::order::RefusalReason;
+use crate::gate::{BalancerTable, Refusal, RequestSpec};
 use crate::kernel::time::{Clock, Span, Time};
 use crate::protocol::Protocols;
 use bytes::Bytes;
@@ -21,7 +21,7 @@
 use tokio::sync::oneshot;
 
 pub struct Front {
-    pub table: Arc<Table>,
+    pub table: Arc<BalancerTable>,
     pub pool: Arc<Pool>,
     pub clock: Arc<dyn Clock>,
     pub leaving: AtomicBool,
@@ -74,7 +74,7 @@
         self.open.fetch_add(1, Ordering::SeqCst);
         let _counted = Counted(&self.open);
         if self.stopping.load(Ordering::SeqCst) {
-            return refused(&*self.protocols.caller, &Refusal::new(Why::Stopping, 1));
+            return refused(&*self.protocols.caller, &Refusal::new(RefusalReason::Stopping, 1));
         }
         if head_bytes(&order) > self.clients.limits().head_bytes {
             let text = "the request's head is over the configured limit; send a smaller one";
@@ -83,7 +83,7 @@
         let now = self.clock.now();
         let host = order.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or("").to_string();
         let Some((routes_version, routes)) = self.table.fresh_routes(now) else {
-            return refused(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
+            return refused(&*self.protocols.caller, &Refusal::new(RefusalReason::StaleConfiguration, 1));
         };
         let Some(row) = routes.find(&host, order.uri().path()) else {
             return own(
@@ -115,7 +115,7 @@
         let mut heads = end_to_end(&parts.headers);
         heads.remove("x-target-instance");
         let order = match self.order(row, now, &heads, &body) {
-            Ok(order) => Order {
+            Ok(order) => RequestSpec {
                 host: host.as_str().into(),
                 path: parts.uri.path().into(),
                 routes_version,
@@ -128,15 +128,15 @@
         if let Err(over) = take_token(&self.table, &*self.clock, &order).await {
             return refused(&*self.protocols.caller, &over);
         }
-        let Some(gate) = self.table.gate(&order.service) else {
-            return refused(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
+        let Some(balancer) = self.table.get(&order.service) else {
+            return refused(&*self.protocols.caller, &Refusal::new(RefusalReason::StaleConfiguration, 1));
         };
         self.seen.add(&order, &host, parts.uri.path(), body.len());
         let uri = parts.uri.path_and_query().map_or("/", |p| p.as_str()).parse().unwrap_or_default();
         let shape = Arc::new(ForwardedRequest { method: parts.method, uri, heads, body });
         let (tx, rx) = oneshot::channel();
         let work = forward(
-            gate,
+            balancer,
             self.pool.clone(),
             self.clock.clone(),
             ForwardJob { order, shape, protocols: self.protocols.clone() },
@@ -156,10 +156,10 @@
 
     /// What a client without a known key is told; nothing of its key is in it.
     fn unknown_key(&self, row: &RouteRow) -> Response<OutBody> {
-        if let Some(gate) = self.table.gate(&row.service) {
-            gate.lock().unwrap().count("refused_unknown_key");
+        if let Some(balancer) = self.table.get(&row.service) {
+            balancer.lock().unwrap().count("refused_unknown_key");
         }
-        refused(&*self.protocols.caller, &Refusal::new(Why::UnknownKey, 0))
+        refused(&*self.protocols.caller, &Refusal::new(RefusalReason::UnknownKey, 0))
     }
 
     fn order(
@@ -168,11 +168,11 @@
         now: Time,
         heads: &HeaderMap,
         body: &Bytes,
-    ) -> Result<Order, Box<Response<OutBody>>> {
+    ) -> Result<RequestSpec, Box<Response<OutBody>>> {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let service = row.pick(id ^ now.0).clone();
-        let gate = self.table.gate(&service);
-        let sort = gate.and_then(|g| g.lock().unwrap().slice.as_ref().map(|s| s.service.sort));
+        let balancer = self.table.get(&service);
+        let sort = balancer.and_then(|g| g.lock().unwrap().slice.as_ref().map(|s| s.service.sort));
         let keys = match self.protocols.caller.read_params(heads, body, sort == Some(ServiceKind::Assistant))
         {
             Ok(keys) => keys,
@@ -180,26 +180,30 @@
         };
         let most = Span::ms(row.route.due_ms);
         let left = keys.due.map_or(most, |d| d.min(most));
-        Ok(Order {
+        Ok(RequestSpec {
             id,
             service,
             class: row.route.class,
             model: keys.model,
             adapter: keys.adapter,
             prefix: keys.prefix,
-            resumable: row.route.resumable,
-            due: now + self.protocols.caller.max_wait(left, &row.route),
-            end: now + left,
-            whole_by: self.protocols.caller.deadline_covers_body().then_some(now + left + LAST_WORD),
-            last: keys.last.filter(|_| row.route.resumable),
-            kind: row.route.kind,
-            tries: row.route.tries,
-            aim: Span::ms(row.route.aim_ms),
-            gap: Span::ms(row.route.gap_ms),
-            size: keys.size,
-            parts: keys.parts,
-            runs: self.protocols.runner.run_contract(),
-            ..Order::default()
+            is_resumable: row.route.resumable,
+            start_deadline: now + self.protocols.caller.max_wait(left, &row.route),
+            answer_deadline: now + left,
+            completion_deadline: self
+                .protocols
+                .caller
+                .deadline_covers_body()
+                .then_some(now + left + LAST_WORD),
+            last_event_id: keys.last.filter(|_| row.route.resumable),
+            route_kind: row.route.kind,
+            max_attempts: row.route.tries,
+            target_latency: Span::ms(row.route.aim_ms),
+            target_gap: Span::ms(row.route.gap_ms),
+            token_counts: keys.size,
+            prompt_parts: keys.parts,
+            run_contract: self.protocols.runner.run_contract(),
+            ..RequestSpec::default()
         })
     }
 }
--- a/src/platform/caller.rs
+++ b/src/platform/caller.rs
@@ -1,6 +1,6 @@
 use crate::fleet::config::{Route, RouteKind};
 use crate::fleet::tenants::KeyDigest;
-use crate::gate::order::Size;
+use crate::gate::order::TokenCounts;
 use crate::kernel::time::Span;
 use crate::protocol::{CallerProtocol, RequestParams, adapter_name};
 use hyper::header::HeaderMap;
@@ -57,7 +57,7 @@
         }
         if let Some((prompt, most)) = text(heads, "x-token-count").and_then(|t| t.split_once(',')) {
             let num = |t: &str| t.trim().parse().unwrap_or(0);
-            out.size = Size { prompt: num(prompt), out: num(most) };
+            out.size = TokenCounts { prompt: num(prompt), output: num(most) };
         }
         if let Some(rows) = text(heads, "x-prompt-prefix").and_then(parts) {
             out.parts = rows.into();
--- a/src/platform/runner.rs
+++ b/src/platform/runner.rs
@@ -1,5 +1,5 @@
 use crate::fleet::runner::{Runner, RunnerReport};
-use crate::gate::order::Order;
+use crate::gate::order::RequestSpec;
 use crate::json::Tree;
 use crate::json::tree::map;
 use crate::kernel::ids::Name;
@@ -41,7 +41,7 @@
 }
 
 /// The class of a request at its runner: by the rank of its tenant, then by the class of its route.
-fn priority_class(order: &Order) -> u8 {
+fn priority_class(order: &RequestSpec) -> u8 {
     let first = order.rank.0.saturating_mul(CLASSES_PER_RANK);
     first.saturating_add(order.class as u8).min(LAST_CLASS)
 }
@@ -62,7 +62,7 @@
         &self,
         heads: &mut HeaderMap,
         runner: &Runner,
-        order: &Order,
+        order: &RequestSpec,
         last: Option<&str>,
         left: Span,
     ) {
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -2,7 +2,7 @@
 use crate::fleet::config::Route;
 use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::tenants::KeyDigest;
-use crate::gate::order::{Order, Parts, Size};
+use crate::gate::order::{PromptParts, RequestSpec, TokenCounts};
 use crate::http::own::{OwnCaller, OwnRunner};
 use crate::kernel::fault::Fault;
 use crate::kernel::ids::{ChangeId, Name};
@@ -26,8 +26,8 @@
     pub model: CompactString,
     pub adapter: CompactString,
     pub prefix: CompactString,
-    pub size: Size,
-    pub parts: Parts,
+    pub size: TokenCounts,
+    pub parts: PromptParts,
     pub due: Option<Span>,
     pub last: Option<String>,
 }
@@ -76,7 +76,7 @@
         &self,
         heads: &mut HeaderMap,
         runner: &Runner,
-        order: &Order,
+        order: &RequestSpec,
         last: Option<&str>,
         left: Span,
     );
@@ -135,7 +135,7 @@
 }
 
 /// The name of the request's tenant as runners are told it.
-pub fn tenant_value(order: &Order) -> Option<HeaderValue> {
+pub fn tenant_value(order: &RequestSpec) -> Option<HeaderValue> {
     let name = &order.credential.as_ref()?.tenant.name;
     HeaderValue::from_bytes(name.0.as_bytes()).ok()
 }
--- a/src/sim/begin.rs
+++ b/src/sim/begin.rs
@@ -16,7 +16,7 @@
     ) -> bool {
         let Some(r) = self.requests.rows.get_mut(&id) else { return false };
         let (call, script) = (r.call, r.script.clone());
-        let tenant = r.request.order.credential.as_ref().map(|c| c.tenant.name.clone());
+        let tenant = r.request.spec.credential.as_ref().map(|c| c.tenant.name.clone());
         let model = Name(script.as_ref().map_or(String::new(), |s| s.model.clone()));
         let x = &mut self.runners[k];
         let adapter = Name(script.as_ref().map_or(String::new(), |s| s.adapter.clone()));
--- a/src/sim/check_leaks.rs
+++ b/src/sim/check_leaks.rs
@@ -3,7 +3,7 @@
 
 use super::front::SimRequest;
 use super::world::World;
-use crate::gate::Gate;
+use crate::gate::Balancer;
 use std::sync::{Arc, Mutex};
 
 /// What the requests under way at a gate account for.
@@ -15,11 +15,11 @@
 }
 
 impl Share {
-    fn of_gate(gate: &Gate) -> Share {
+    fn of_gate(balancer: &Balancer) -> Share {
         Share {
-            waiters: gate.inbox.len() as u64,
-            slots: gate.health.values().map(|h| h.mine).sum(),
-            credit: gate.tries.reserved(),
+            waiters: balancer.queue.len() as u64,
+            slots: balancer.health.values().map(|h| h.own_requests).sum(),
+            credit: balancer.retry_budget.reserved(),
         }
     }
 
@@ -41,21 +41,23 @@
 impl World {
     /// Looks at each gate at which a request has just ended: it may count no more than the requests under way have.
     pub fn check_leaks(&mut self) {
-        for (place, gate) in std::mem::take(&mut self.requests.ended_at) {
+        for (place, balancer) in std::mem::take(&mut self.requests.ended_at) {
             let node = &self.nodes[place];
-            let here =
-                |r: &&SimRequest| r.place == place && r.life == node.life && Arc::ptr_eq(&r.gate, &gate);
+            let here = |r: &&SimRequest| {
+                r.place == place && r.life == node.life && Arc::ptr_eq(&r.balancer, &balancer)
+            };
             let known = Share::of_requests(self.requests.rows.values().filter(here));
             if node.alive {
-                self.requests.leaks.extend(leak_at(place, &gate, &known));
+                self.requests.leaks.extend(leak_at(place, &balancer, &known));
             }
         }
     }
 }
 
-fn leak_at(place: usize, gate: &Mutex<Gate>, known: &Share) -> Option<String> {
-    let gate = gate.lock().unwrap();
-    let counted = Share::of_gate(&gate);
-    let leak = || format!("2 node {place} keeps {counted:?} at {}, requests have {known:?}", gate.name);
+fn leak_at(place: usize, balancer: &Mutex<Balancer>, known: &Share) -> Option<String> {
+    let balancer = balancer.lock().unwrap();
+    let counted = Share::of_gate(&balancer);
+    let leak =
+        || format!("2 node {place} keeps {counted:?} at {}, requests have {known:?}", balancer.service);
     counted.exceeds(known).then(leak)
 }
--- a/src/sim/check_tries.rs
+++ b/src/sim/check_tries.rs
@@ -10,7 +10,7 @@
 pub const SLACK: f64 = 1.0;
 
 pub fn small_allowance(allowance: u64, routers: u64) -> u64 {
-    allowance.max(routers * crate::gate::budget::LEAST)
+    allowance.max(routers * crate::gate::budget::MIN_CREDIT_LIMIT)
 }
 
 pub fn tries(w: &World) -> Bad {
--- a/src/sim/effects.rs
+++ b/src/sim/effects.rs
@@ -33,15 +33,15 @@
                     let scope = scope_name(&scope);
                     self.note(Fact::TopicChange { place, scope, at, config_version, print });
                 }
-                self.nodes[place].table.clone().learn(now, &scope, at, slice, proven);
+                self.nodes[place].table.clone().apply_slice(now, &scope, at, slice, proven);
             }
             Effect::ServingLease { scopes, until } => {
                 let now = self.local(place);
-                self.nodes[place].table.lease(now, &scopes, until);
+                self.nodes[place].table.extend_leases(now, &scopes, until);
             }
             Effect::RunnerLeaving(name) => {
                 let now = self.local(place);
-                self.nodes[place].table.mark(now, &name);
+                self.nodes[place].table.mark_leaving(now, &name);
             }
             Effect::RouterCount(n) => self.nodes[place].routers = n,
             Effect::PollRunners(list) => self.nodes[place].watch = list,
@@ -54,7 +54,7 @@
             Effect::PollRunner(runner) => self.later(Span(1), Event::Looked { place, life, runner }),
             Effect::Holdings(rows) => {
                 let now = self.local(place);
-                self.nodes[place].table.clone().held(now, &rows);
+                self.nodes[place].table.clone().on_holdings(now, &rows);
             }
             Effect::Ready(r) => self.nodes[place].ready = r,
             Effect::Leaving(d) => self.nodes[place].departure = Some(d),
--- a/src/sim/front.rs
+++ b/src/sim/front.rs
@@ -3,8 +3,8 @@
 use crate::fleet::tenants::KeyDigest;
 use crate::forwarding::{In, Out, RequestFlow};
 use crate::gate::admission::admit;
-use crate::gate::order::Why;
-use crate::gate::{Gate, Order, Plan, Refusal};
+use crate::gate::order::RefusalReason;
+use crate::gate::{Balancer, Refusal, RequestSpec, RoutingDecision};
 use crate::kernel::time::{Span, Time};
 use crate::standin::script::Script;
 use crate::standin::tally::End;
@@ -16,14 +16,14 @@
     pub rows: BTreeMap<u64, SimRequest>,
     pub next: u64,
     /// The nodes and gates at which requests have ended since [`World::check_leaks`] looked last.
-    pub ended_at: Vec<(usize, Arc<Mutex<Gate>>)>,
+    pub ended_at: Vec<(usize, Arc<Mutex<Balancer>>)>,
     /// What ended requests left behind.
     pub leaks: Vec<String>,
 }
 
 pub struct SimRequest {
     pub request: RequestFlow,
-    pub gate: Arc<Mutex<Gate>>,
+    pub balancer: Arc<Mutex<Balancer>>,
     pub place: usize,
     pub life: u64,
     pub call: u64,
@@ -51,13 +51,13 @@
         let Some(row) = routes.find("", path) else { return refused(self, "unknown-route", End::Refused) };
         let key = key.map(|key| KeyDigest::of(key.as_bytes()));
         let Ok(admission) = admit(&routes, row, key) else {
-            return refused(self, Refusal::new(Why::UnknownKey, 0).code(), End::Refused);
+            return refused(self, Refusal::new(RefusalReason::UnknownKey, 0).code(), End::Refused);
         };
         let script = body.as_deref().and_then(Script::read);
-        let Some(gate) = table.gate(&row.service) else { return refused(self, "not-fresh", End::Refused) };
+        let Some(balancer) = table.get(&row.service) else { return refused(self, "not-fresh", End::Refused) };
         self.requests.next += 1;
         let id = self.requests.next;
-        let order = Order {
+        let order = RequestSpec {
             id,
             service: row.service.clone(),
             class: row.route.class,
@@ -66,19 +66,19 @@
             model: script.as_ref().map_or("", |s| s.model.as_str()).into(),
             adapter: script.as_ref().map_or("", |s| s.adapter.as_str()).into(),
             prefix: script.as_ref().map_or("", |s| s.prefix.as_str()).into(),
-            resumable: row.route.resumable,
-            due: now + Span::ms(row.route.due_ms),
-            end: now + Span::ms(row.route.due_ms),
+            is_resumable: row.route.resumable,
+            start_deadline: now + Span::ms(row.route.due_ms),
+            answer_deadline: now + Span::ms(row.route.due_ms),
             path: path.into(),
             routes_version,
-            kind: row.route.kind,
-            gap: Span::ms(row.route.gap_ms),
-            ..Order::default()
+            route_kind: row.route.kind,
+            target_gap: Span::ms(row.route.gap_ms),
+            ..RequestSpec::default()
         };
         self.nodes[place].seen.add(&order, "", path, body.as_ref().map_or(0, |b| b.len()));
         let request = SimRequest {
             request: RequestFlow::new(order),
-            gate,
+            balancer,
             place,
             life,
             call,
@@ -97,8 +97,8 @@
         }
         let now = self.local(place);
         let Some(r) = self.requests.rows.get_mut(&id) else { return };
-        let gate = r.gate.clone();
-        let outs = r.request.step(now, ev, &mut gate.lock().unwrap());
+        let balancer = r.balancer.clone();
+        let outs = r.request.step(now, ev, &mut balancer.lock().unwrap());
         for out in outs {
             self.request_out(place, life, id, out);
         }
@@ -110,11 +110,11 @@
         if self.requests.rows.contains_key(&woken.request) {
             return self.request(place, life, woken.request, In::Woken(woken.plan));
         }
-        if let Plan::Send(runner) = woken.plan
+        if let RoutingDecision::Send(runner) = woken.plan
             && self.fits(place, life)
         {
             let now = self.local(place);
-            woken.gate.lock().unwrap().release(now, &runner.instance, &woken.model, None);
+            woken.balancer.lock().unwrap().release_slot(now, &runner.instance, &woken.model, None);
         }
     }
 
@@ -124,14 +124,15 @@
         let Some(r) = self.requests.rows.get_mut(&id) else { return };
         match out {
             Out::Wait { avoid } => {
-                let (woken, order, gate) = (self.woken.clone(), r.request.order.clone(), r.gate.clone());
-                let (model, waits_at) = (order.model.to_string(), gate.clone());
+                let (woken, order, balancer) =
+                    (self.woken.clone(), r.request.spec.clone(), r.balancer.clone());
+                let (model, waits_at) = (order.model.to_string(), balancer.clone());
                 let wake = Box::new(move |plan| {
-                    let woken_one = Woken { place, life, request: id, gate: waits_at, model, plan };
+                    let woken_one = Woken { place, life, request: id, balancer: waits_at, model, plan };
                     woken.lock().unwrap().push_back(woken_one);
                     Ok(())
                 });
-                gate.lock().unwrap().wait(now, order, avoid, wake);
+                balancer.lock().unwrap().wait(now, order, avoid, wake);
             }
             Out::Open { attempt, runner, last } => {
                 r.attempts.insert(attempt, (runner, None));
@@ -162,7 +163,7 @@
 
     fn end_request(&mut self, id: u64, end: End, code: &str) {
         let Some(r) = self.requests.rows.remove(&id) else { return };
-        self.requests.ended_at.push((r.place, r.gate.clone()));
+        self.requests.ended_at.push((r.place, r.balancer.clone()));
         let shown = matches!(end, End::Whole | End::Broken);
         let text = if shown { Some(r.text) } else { None };
         let (call, after) = (r.call, r.gap.1.as_ms());
@@ -198,7 +199,7 @@
         let Some(r) = self.requests.rows.get(&id) else { return };
         let Some((card, _)) = r.attempts.get(&attempt) else { return };
         let name = card.instance.clone();
-        let barred = r.gate.lock().unwrap().check(now, &r.request.order, &name).err();
+        let barred = r.balancer.lock().unwrap().check_before_send(now, &r.request.spec, &name).err();
         if let Some(why) = barred {
             return self.request(place, life, id, In::OpenFailed { attempt, why: Some(why) });
         }
@@ -211,9 +212,9 @@
         };
         if !self.begin_run(k, place, life, id, attempt, last) {
             if let Some(r) = self.requests.rows.get(&id) {
-                r.gate.lock().unwrap().lacks(now, &name, &r.request.order);
+                r.balancer.lock().unwrap().on_missing_weights(now, &name, &r.request.spec);
             }
-            let ev = Box::new(In::OpenFailed { attempt, why: None::<Why> });
+            let ev = Box::new(In::OpenFailed { attempt, why: None::<RefusalReason> });
             self.later(Span::ms(1), Event::RequestFlow { place, life, request: id, ev });
         }
     }
--- a/src/sim/nodes.rs
+++ b/src/sim/nodes.rs
@@ -6,7 +6,7 @@
 use crate::chain::leaving::Departure;
 use crate::daemon::assemble::{Place, controller, router};
 use crate::daemon::keep;
-use crate::gate::Table;
+use crate::gate::BalancerTable;
 use crate::http::sender::Seen;
 use crate::kernel::disk::Disk;
 use crate::kernel::hold::{SyncGate, WriteBatch};
@@ -35,7 +35,7 @@
     pub held: VecDeque<Event>,
     pub offset: u64,
     pub ppm: u64,
-    pub table: Arc<Table>,
+    pub table: Arc<BalancerTable>,
     pub seen: Arc<Seen>,
     pub routers: u64,
     pub watch: Vec<crate::fleet::runner::Runner>,
@@ -53,7 +53,7 @@
 
 impl SimNode {
     pub fn new(place: Place, role: Role, rand: &mut SeededRandom) -> SimNode {
-        let table = Arc::new(Table::new(place.domain.clone(), place.proof));
+        let table = Arc::new(BalancerTable::new(place.domain.clone(), place.proof));
         SimNode {
             place,
             role,
@@ -115,7 +115,7 @@
         n.reads_list = false;
         n.departure = None;
         n.rehearsed = None;
-        n.table = Arc::new(Table::new(n.place.domain.clone(), n.place.proof));
+        n.table = Arc::new(BalancerTable::new(n.place.domain.clone(), n.place.proof));
         n.seen = Arc::default();
         let node = match n.role {
             Role::Router => router(&n.place, now, rand),
@@ -138,7 +138,7 @@
         self.later(TICK, Event::Tick { place, life });
         let sought = self.sought.clone();
         let asker = move |want| sought.lock().unwrap().push_back((place, life, want));
-        self.nodes[place].table.on_want(Arc::new(asker));
+        self.nodes[place].table.set_load_requester(Arc::new(asker));
         self.connect_shares(place, life);
         self.later(TELL, Event::Tell { place, life });
         if self.list.is_some() && self.nodes[place].role == Role::Controller {
--- a/src/sim/quota.rs
+++ b/src/sim/quota.rs
@@ -75,12 +75,12 @@
 
     /// A request goes on to its gate once it has a token, if its tenant has a quota.
     pub fn take_token(&mut self, id: u64, request: SimRequest) {
-        let order = &request.request.order;
+        let order = &request.request.spec;
         let tenant = order.credential.as_ref().map(|credential| credential.tenant.clone());
         let Some(tenant) = tenant.filter(|tenant| tenant.quota.is_some()) else {
             return self.enter_gate(id, request);
         };
-        let (now, due) = (self.local(request.place), order.due);
+        let (now, due) = (self.local(request.place), order.start_deadline);
         let decided = self.quota.decided.clone();
         let wake = Box::new(move |decision| {
             decided.lock().unwrap().push_back(Decided { request: id, decision });
--- a/src/sim/runners.rs
+++ b/src/sim/runners.rs
@@ -99,8 +99,8 @@
         self.later(TELL, Event::Tell { place, life });
         let now = self.local(place);
         let n = &mut self.nodes[place];
-        let mut tell = n.table.tell(now);
-        if let (at, Some(t)) = n.table.trial() {
+        let mut tell = n.table.router_report(now);
+        if let (at, Some(t)) = n.table.candidate() {
             let old = n.rehearsed.take().filter(|r| r.0 == at);
             let row = old.map_or_else(|| rehearse(&n.table, &Fixed(now), &t, &n.seen.rows()), |r| r.1);
             tell.rehearsal = Some(row.clone());
--- a/src/sim/world.rs
+++ b/src/sim/world.rs
@@ -5,7 +5,7 @@
 use super::runners::SimRunner;
 use crate::fleet::holdings::UnmetDemand;
 use crate::forwarding::In;
-use crate::gate::{Gate, Plan};
+use crate::gate::{Balancer, RoutingDecision};
 use crate::kernel::ids::*;
 use crate::kernel::rand::{Rand, SeededRandom};
 use crate::kernel::time::{Span, Time};
@@ -21,9 +21,9 @@
     pub place: usize,
     pub life: u64,
     pub request: u64,
-    pub gate: Arc<Mutex<Gate>>,
+    pub balancer: Arc<Mutex<Balancer>>,
     pub model: String,
-    pub plan: Plan,
+    pub plan: RoutingDecision,
 }
 
 pub type Sought = (usize, u64, UnmetDemand);
--- a/tests/common/forwarding.rs
+++ b/tests/common/forwarding.rs
@@ -9,14 +9,14 @@
 use spindledock::fleet::slice::service_slice;
 use spindledock::fleet::state::{MovePlan, Phase};
 use spindledock::forwarding::{In, Out, RequestFlow};
-use spindledock::gate::{Gate, Order};
+use spindledock::gate::{Balancer, RequestSpec};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::launch::deployment::small;
 
 pub const NOW: Time = Time(100_000_000);
 
-pub fn gate(runners: &[&str]) -> Gate {
+pub fn balancer(runners: &[&str]) -> Balancer {
     let config = read_text(&small().config()).expect("sound");
     let service = config.service(&Name::from("assistant")).expect("there");
     let mut slice = service_slice(&config, service);
@@ -29,20 +29,20 @@
             leaving: false,
         });
     }
-    let mut g = Gate::new(Name::from("assistant"), Name::from("z1"));
-    g.learn(Version(5), slice, NOW);
-    g.proven = NOW;
-    g.routes_proven = NOW;
+    let mut g = Balancer::new(Name::from("assistant"), Name::from("z1"));
+    g.apply_slice(Version(5), slice, NOW);
+    g.proven_at = NOW;
+    g.routes_proven_at = NOW;
     for name in runners {
         report(&mut g, NOW, name, 0);
     }
     for _ in 0..40 {
-        g.tries.first();
+        g.retry_budget.record_first_send();
     }
     g
 }
 
-pub fn report(g: &mut Gate, now: Time, name: &str, running: u64) {
+pub fn report(g: &mut Balancer, now: Time, name: &str, running: u64) {
     let rep = RunnerReport {
         instance: Name::from(name),
         holds: vec![Name::from("m00")],
@@ -50,24 +50,24 @@
         running,
         ..RunnerReport::default()
     };
-    g.report(now, &Name::from(name), rep);
-    g.proven = now;
-    g.routes_proven = now;
+    g.on_report(now, &Name::from(name), rep);
+    g.proven_at = now;
+    g.routes_proven_at = now;
 }
 
 pub fn request(resumable: bool) -> RequestFlow {
-    RequestFlow::new(Order {
+    RequestFlow::new(RequestSpec {
         id: 1,
         service: Name::from("assistant"),
         class: Class::Chat,
         model: "m00".into(),
         adapter: "".into(),
         prefix: "".into(),
-        resumable,
-        due: NOW + Span::ms(5000),
-        end: NOW + Span::ms(5000),
+        is_resumable: resumable,
+        start_deadline: NOW + Span::ms(5000),
+        answer_deadline: NOW + Span::ms(5000),
         path: "".into(),
-        ..Order::default()
+        ..RequestSpec::default()
     })
 }
 
@@ -82,14 +82,14 @@
     outs.iter().map(part).collect()
 }
 
-pub fn streaming(r: &mut RequestFlow, g: &mut Gate, upto: u64) -> String {
+pub fn streaming(r: &mut RequestFlow, g: &mut Balancer, upto: u64) -> String {
     let outs = r.step(NOW, In::Go, g);
     assert!(matches!(outs[..], [Out::Open { attempt: 1, .. }]), "{outs:?}");
     r.step(NOW, In::Head { attempt: 1, status: 200, stream: true }, g);
     (1..=upto).map(|n| text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(n) }, g))).collect()
 }
 
-pub fn moving(g: &mut Gate, from: &str, to: &str) {
+pub fn moving(g: &mut Balancer, from: &str, to: &str) {
     let mut slice = (*g.slice.clone().expect("there")).clone();
     slice.moves.push(MovePlan {
         id: MoveId(7),
@@ -102,11 +102,11 @@
         why: String::new(),
         stages: vec![],
     });
-    g.learn(Version(6), slice, NOW);
+    g.apply_slice(Version(6), slice, NOW);
 }
 
-pub fn begin_move(upto: u64) -> (Gate, RequestFlow, String) {
-    let mut g = gate(&["a1", "a2"]);
+pub fn begin_move(upto: u64) -> (Balancer, RequestFlow, String) {
+    let mut g = balancer(&["a1", "a2"]);
     let mut r = request(true);
     let passed = streaming(&mut r, &mut g, upto);
     let from = r.runner_of(1).expect("a attempt").0;
--- a/tests/common/silent.rs
+++ b/tests/common/silent.rs
@@ -2,11 +2,11 @@
 
 #![allow(dead_code)]
 
-use super::given::{NOW, event, gate, report, request, text};
+use super::given::{NOW, balancer, event, report, request, text};
 use bytes::Bytes;
 use spindledock::fleet::config::RouteKind;
 use spindledock::forwarding::{AnswerEnd, In, Out, RequestFlow};
-use spindledock::gate::Gate;
+use spindledock::gate::Balancer;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::transfer::continuation::RunContract;
 
@@ -16,7 +16,7 @@
 pub const ALL: u64 = 5;
 
 pub struct Story {
-    pub gate: Gate,
+    pub balancer: Balancer,
     pub request: RequestFlow,
     pub now: Time,
     pub outs: Vec<Out>,
@@ -34,13 +34,14 @@
     /// A stream that passed `passed` events on, whose runner has been silent since.
     pub fn silent(runs: RunContract, passed: u64, tries: u64) -> Story {
         let mut request = request(true);
-        request.order.kind = RouteKind::Stream;
-        request.order.aim = Span::ms(600);
-        request.order.gap = Span::ms(300);
-        request.order.tries = tries;
-        request.order.runs = runs;
-        request.order.end = NOW + Span::ms(20_000);
-        let mut story = Story { gate: gate(&["a1", "a2", "a3"]), request, now: NOW, outs: Vec::new() };
+        request.spec.route_kind = RouteKind::Stream;
+        request.spec.target_latency = Span::ms(600);
+        request.spec.target_gap = Span::ms(300);
+        request.spec.max_attempts = tries;
+        request.spec.run_contract = runs;
+        request.spec.answer_deadline = NOW + Span::ms(20_000);
+        let mut story =
+            Story { balancer: balancer(&["a1", "a2", "a3"]), request, now: NOW, outs: Vec::new() };
         story.feed(In::Go);
         story.feed(In::Head { attempt: 1, status: 200, stream: true });
         (1..=passed).for_each(|n| story.feed(In::Chunk { attempt: 1, raw: event(n) }));
@@ -49,7 +50,7 @@
     }
 
     pub fn feed(&mut self, ev: In) {
-        let outs = self.request.step(self.now, ev, &mut self.gate);
+        let outs = self.request.step(self.now, ev, &mut self.balancer);
         self.outs.extend(outs);
     }
 
@@ -57,7 +58,7 @@
         let until = self.now + span;
         while self.now < until {
             self.now = self.now + TICK;
-            ["a1", "a2", "a3"].iter().for_each(|name| report(&mut self.gate, self.now, name, 0));
+            ["a1", "a2", "a3"].iter().for_each(|name| report(&mut self.balancer, self.now, name, 0));
             self.feed(In::Tick);
         }
     }
--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -2,13 +2,13 @@
 mod given;
 
 use bytes::Bytes;
-use given::{NOW, begin_move, event, gate, moving, report, request, streaming, text};
+use given::{NOW, balancer, begin_move, event, moving, report, request, streaming, text};
 use spindledock::forwarding::{AnswerEnd, In, Out, RequestFlow};
 use spindledock::kernel::time::Span;
 
 #[test]
 fn given_a_lost_attempt_when_events_of_the_closed_attempt_come_then_they_are_not_passed() {
-    let mut g = gate(&["a1", "a2"]);
+    let mut g = balancer(&["a1", "a2"]);
     let mut r = request(true);
     streaming(&mut r, &mut g, 3);
     let outs = r.step(NOW, In::Lost { attempt: 1 }, &mut g);
@@ -17,7 +17,7 @@
         "{outs:?}"
     );
     assert_eq!(text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(4) }, &mut g)), "");
-    let mut full = gate(&["a1"]);
+    let mut full = balancer(&["a1"]);
     let mut r = request(true);
     streaming(&mut r, &mut full, 3);
     let outs = r.step(NOW, In::Lost { attempt: 1 }, &mut full);
@@ -28,7 +28,7 @@
 
 #[test]
 fn given_bytes_sent_when_the_runner_is_lost_then_the_answer_says_unknown_and_not_refused() {
-    let mut g = gate(&["a1", "a2"]);
+    let mut g = balancer(&["a1", "a2"]);
     let mut r = request(false);
     r.step(NOW, In::Go, &mut g);
     let outs = r.step(NOW, In::Lost { attempt: 1 }, &mut g);
@@ -38,19 +38,19 @@
 
 #[test]
 fn given_a_runner_not_reached_when_credit_is_left_then_another_is_tried_else_it_is_refused_at_once() {
-    let mut g = gate(&["a1", "a2"]);
+    let mut g = balancer(&["a1", "a2"]);
     let mut r = request(false);
     r.step(NOW, In::Go, &mut g);
     let outs = r.step(NOW, In::OpenFailed { attempt: 1, why: None }, &mut g);
     assert!(outs.iter().any(|o| matches!(o, Out::Open { attempt: 2, .. })), "{outs:?}");
-    while g.tries.spend() {}
+    while g.retry_budget.try_spend() {}
     let outs = r.step(NOW, In::OpenFailed { attempt: 2, why: None }, &mut g);
     assert!(outs.iter().any(|o| matches!(o, Out::Refuse(_))), "{outs:?}");
 }
 
 #[test]
 fn given_a_resumed_run_when_it_repeats_the_last_event_otherwise_then_it_is_left_and_nothing_is_mixed() {
-    let mut g = gate(&["a1", "a2", "a3"]);
+    let mut g = balancer(&["a1", "a2", "a3"]);
     let mut r = request(true);
     let mut passed = streaming(&mut r, &mut g, 3);
     r.step(NOW, In::Lost { attempt: 1 }, &mut g);
@@ -74,9 +74,9 @@
 #[test]
 fn given_a_route_with_its_most_runners_when_a_move_is_planned_then_the_stream_stays() {
     for (tries, moves) in [(1, false), (2, true)] {
-        let mut g = gate(&["a1", "a2"]);
+        let mut g = balancer(&["a1", "a2"]);
         let mut r = request(true);
-        r.order.tries = tries;
+        r.spec.max_attempts = tries;
         streaming(&mut r, &mut g, 3);
         let from = r.runner_of(1).expect("a attempt").0;
         moving(&mut g, &from, if from == "a1" { "a2" } else { "a1" });
@@ -137,7 +137,7 @@
 
 #[test]
 fn given_a_runner_we_filled_when_one_of_ours_ends_then_its_slot_is_free_before_the_next_report() {
-    let mut g = gate(&["a1"]);
+    let mut g = balancer(&["a1"]);
     let mut rows: Vec<RequestFlow> = (0..8).map(|_| request(true)).collect();
     for r in &mut rows {
         assert!(matches!(r.step(NOW, In::Go, &mut g)[..], [Out::Open { .. }]));
@@ -152,7 +152,7 @@
 #[test]
 fn given_a_runner_that_is_dark_when_its_request_may_not_run_again_then_it_is_waited_for_to_its_end() {
     for (resumable, moves) in [(false, false), (true, true)] {
-        let mut g = gate(&["a1", "a2"]);
+        let mut g = balancer(&["a1", "a2"]);
         let mut r = request(resumable);
         streaming(&mut r, &mut g, 3);
         let other = if r.runner_of(1).is_some_and(|n| n.0 == "a1") { "a2" } else { "a1" };
--- a/tests/platform_given/road.rs
+++ b/tests/platform_given/road.rs
@@ -5,7 +5,7 @@
 use spindledock::fleet::runner::Runner;
 use spindledock::fleet::slice::{RoutesSlice, Slice, service_slice};
 use spindledock::fleet::state::Scope;
-use spindledock::gate::Table;
+use spindledock::gate::BalancerTable;
 use spindledock::http::client::ClientConnections;
 use spindledock::http::serve::Front;
 use spindledock::kernel::ids::{Name, Version};
@@ -71,7 +71,7 @@
         let caller = Arc::new(Caller);
         let words = Arc::new(RunnerWords { node: "n".into() });
         let front = Arc::new(Front {
-            table: Arc::new(Table::bare(
+            table: Arc::new(BalancerTable::with_plain_unreported(
                 Name::from("hall-a"),
                 spindledock::distribution::reader::FRESHNESS_LIMIT,
             )),
@@ -98,8 +98,8 @@
     pub async fn open(runners: usize, tries: u64, saved: u64, script: Script) -> Road {
         let road = Road::start(runners, tries, script).await;
         road.learn();
-        let gate = road.front.table.gate(&Name::from("s")).expect("a gate");
-        (0..saved * 5).for_each(|_| gate.lock().expect("a gate").tries.first());
+        let gate = road.front.table.get(&Name::from("s")).expect("a gate");
+        (0..saved * 5).for_each(|_| gate.lock().expect("a gate").retry_budget.record_first_send());
         road
     }
 
@@ -124,8 +124,8 @@
                 leaving: false,
             })
             .collect();
-        table.learn(now, &Scope::Routes, self.version, Some(Slice::Routes(RoutesSlice::of(&c))), now);
-        table.learn(
+        table.apply_slice(now, &Scope::Routes, self.version, Some(Slice::Routes(RoutesSlice::of(&c))), now);
+        table.apply_slice(
             now,
             &Scope::Service(Name::from("s")),
             self.version,
--- a/tests/platform_keys.rs
+++ b/tests/platform_keys.rs
@@ -177,8 +177,8 @@
 async fn given_an_unknown_key_when_refused_then_the_router_counts_it() {
     let road = road_of(&tenant("huka", &["k-1"]), whole_answers()).await;
     ask(&road, "/idem/x", "api-key: k-2\r\n").await;
-    let gate = road.front.table.gate(&"s".into()).expect("a gate");
-    let counts = gate.lock().expect("a gate").counts.clone();
+    let gate = road.front.table.get(&"s".into()).expect("a gate");
+    let counts = gate.lock().expect("a gate").counters.clone();
     assert_eq!(counts.get("refused_unknown_key"), Some(&1), "{counts:?}");
     assert_eq!(road.front.open.load(Ordering::SeqCst), 0);
 }
--- a/tests/platform_words.rs
+++ b/tests/platform_words.rs
@@ -4,7 +4,7 @@
 use spindledock::fleet::config::{Class, Route, RouteKind};
 use spindledock::fleet::runner::Runner;
 use spindledock::fleet::slice::route_rows;
-use spindledock::gate::Order;
+use spindledock::gate::RequestSpec;
 use spindledock::json::Tree;
 use spindledock::kernel::ids::{Name, OrderId, Term};
 use spindledock::kernel::time::{Span, Time};
@@ -59,7 +59,7 @@
     ]);
     let k = Caller.read_params(&h, b"anything", true).expect("good heads");
     assert_eq!((k.model.as_str(), k.adapter.as_str()), ("daka51", "daka51/a3"));
-    assert_eq!((k.size.prompt, k.size.out), (1460, 80));
+    assert_eq!((k.size.prompt, k.size.output), (1460, 80));
     assert_eq!(*k.parts, [(0x5c1e07a2, 800), (0x91bd3f06, 410), (0xe4402b7d, 250)]);
     assert_eq!((k.due, k.last.as_deref()), (Some(Span::ms(1500)), Some("12")));
     let bare = Caller.read_params(&HeaderMap::new(), b"", false).expect("no heads are no fault");
@@ -141,7 +141,7 @@
 
 #[test]
 fn given_an_order_when_it_is_dressed_then_runner_time_left_place_and_class_are_told() {
-    let order = Order { model: "daka51".into(), class: Class::Chat, ..Order::default() };
+    let order = RequestSpec { model: "daka51".into(), class: Class::Chat, ..RequestSpec::default() };
     let mut h = heads(&[("x-deadline-ms", "9000"), ("x-request-id", "9c"), ("last-event-id", "2")]);
     words().add_request_headers(&mut h, &runner(), &order, Some("31"), Span::ms(1234));
     let told: Vec<&str> = ["x-target-instance", "x-deadline-ms", "last-event-id", "x-priority-class"]
@@ -151,7 +151,7 @@
     assert_eq!(told, ["i-7f", "1234", "31", "1"]);
     assert_eq!((h.get("x-request-id"), h.len()), (Some(&HeaderValue::from_static("9c")), 5));
     let mut h = HeaderMap::new();
-    words().add_request_headers(&mut h, &runner(), &Order::default(), None, Span(0));
+    words().add_request_headers(&mut h, &runner(), &RequestSpec::default(), None, Span(0));
     assert_eq!((h.len(), h.get("x-deadline-ms")), (2, Some(&HeaderValue::from_static("1"))));
 }
 
--- a/tests/quota_request.rs
+++ b/tests/quota_request.rs
@@ -2,7 +2,7 @@
 
 use spindledock::constraints::shares::Grant;
 use spindledock::fleet::tenants::{Credential, KeyDigest, QuotaLimit, Tenant};
-use spindledock::gate::{Order, Refusal, Table};
+use spindledock::gate::{BalancerTable, Refusal, RequestSpec};
 use spindledock::http::quota::take_token;
 use spindledock::kernel::ids::Name;
 use spindledock::kernel::time::{Clock, Span, Time};
@@ -19,28 +19,32 @@
     }
 }
 
-fn table() -> Table {
-    Table::new(Name::from("z1"), Span::ms(2000))
+fn table() -> BalancerTable {
+    BalancerTable::new(Name::from("z1"), Span::ms(2000))
 }
 
-fn order(quota: Option<QuotaLimit>) -> Order {
+fn order(quota: Option<QuotaLimit>) -> RequestSpec {
     let key = KeyDigest::of(b"key");
     let tenant = Arc::new(Tenant { name: Name::from("t1"), keys: vec![key], priority: None, quota });
-    Order { credential: Some(Credential { key, tenant }), due: DUE, ..Order::default() }
+    RequestSpec {
+        credential: Some(Credential { key, tenant }),
+        start_deadline: DUE,
+        ..RequestSpec::default()
+    }
 }
 
-fn limited() -> Order {
+fn limited() -> RequestSpec {
     order(Some(QuotaLimit { rate_milli: 1000, burst: 1 }))
 }
 
-fn grant(table: &Table, tokens: u32, blocked_until: Option<Time>) {
+fn grant(table: &BalancerTable, tokens: u32, blocked_until: Option<Time>) {
     let tenant = Name::from("t1");
     let grant = Grant { tenant, tokens, valid_until: DUE, blocked_until };
     table.quota.lock().unwrap().granted(NOW, &[grant]);
 }
 
 /// Asks for a token; `meanwhile` happens as the request waits.
-fn ask(table: &Table, order: &Order, meanwhile: impl FnOnce()) -> Result<(), Refusal> {
+fn ask(table: &BalancerTable, order: &RequestSpec, meanwhile: impl FnOnce()) -> Result<(), Refusal> {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async { tokio::join!(take_token(table, &FixedClock, order), async { meanwhile() }).0 })
 }
--- a/tests/rehearse.rs
+++ b/tests/rehearse.rs
@@ -53,14 +53,9 @@
     let mut w = World::loaded_boot(quebec(), 4, 10);
     w.traffic(10, 6.0, Span::ms(25_000));
     w.run_for(Span::ms(12_000));
-    assert!(
-        w.nodes.iter().any(|n| n.table.gate(&Name::from("assistant")).is_some_and(|g| g
-            .lock()
-            .unwrap()
-            .inbox
-            .len()
-            > 2))
-    );
+    assert!(w.nodes.iter().any(|n| {
+        n.table.get(&Name::from("assistant")).is_some_and(|g| g.lock().unwrap().queue.len() > 2)
+    }));
     refused(&mut w, r#"{"services":[{"name":"assistant","inbox":1}]}"#, "the inbox would take 1");
     w.run_for(Span::ms(80_000));
     sound(&w);
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -105,10 +105,10 @@
     for case in 0..3 {
         let tries = if case == 0 { 1 } else { 2 };
         let mut story = Story::silent(RunContract::SameIds, 0, 1);
-        story.request.order.tries = tries;
+        story.request.spec.max_attempts = tries;
         story.feed(In::Chunk { attempt: 1, raw: event(1) });
         if case == 1 {
-            while story.gate.tries.spend() {}
+            while story.balancer.retry_budget.try_spend() {}
         }
         if case == 2 {
             let names = ["a1", "a2", "a3"];
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -9,8 +9,8 @@
 use spindledock::fleet::slice::RoutesSlice;
 use spindledock::fleet::tenants::{KeyDigest, TenantRank};
 use spindledock::gate::admission::admit;
-use spindledock::gate::order::{Order, Urgency, Why};
-use spindledock::gate::{Gate, Refusal};
+use spindledock::gate::order::{RefusalReason, RequestSpec, Urgency};
+use spindledock::gate::{Balancer, Refusal};
 use spindledock::http::own::{OwnCaller, OwnRunner};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
@@ -117,16 +117,16 @@
     RoutesSlice::of(&read_text(&text).expect("good"))
 }
 
-fn order_at(version: u64, table: &RouteTable, key: &str) -> Order {
+fn order_at(version: u64, table: &RouteTable, key: &str) -> RequestSpec {
     let row = table.find("", "/x").expect("a route");
     let admission = admit(table, row, Some(KeyDigest::of(key.as_bytes()))).expect("a known key");
-    Order {
+    RequestSpec {
         service: Name::from("s"),
         path: "/x".into(),
         routes_version: Version(version),
         credential: admission.credential,
         rank: admission.rank,
-        ..Order::default()
+        ..RequestSpec::default()
     }
 }
 
@@ -135,15 +135,19 @@
 fn given_a_request_admitted_by_newer_tenants_than_its_gate_knows_when_checked_then_it_is_not_refused() {
     let old: RouteTable = routes(r#"{"name":"one","keys":["k-1"]}"#).into();
     let new: RouteTable = routes(r#"{"name":"one","keys":["k-1","k-2"]}"#).into();
-    let mut gate = Gate::new(Name::from("s"), Name::from("z"));
+    let mut balancer = Balancer::new(Name::from("s"), Name::from("z"));
     let (first, second) = (order_at(1, &old, "k-1"), order_at(2, &new, "k-2"));
-    gate.routes = (Version(1), Arc::new(old));
-    assert_eq!((gate.admits(&first), gate.admits(&second)), (Ok(()), Ok(())));
-    gate.routes = (Version(3), Arc::new(routes(r#"{"name":"one","keys":["k-1"]}"#).into()));
-    assert_eq!((gate.admits(&first), gate.admits(&second)), (Ok(()), Err(Why::UnknownKey)));
-    gate.routes = (Version(4), Arc::new(routes(r#"{"name":"two","keys":["k-1"]}"#).into()));
-    assert_eq!(gate.admits(&first), Err(Why::KeyPassedOn));
-    assert_eq!(Refusal::new(Why::KeyPassedOn, 1).status(), 503, "the key is known: the client may ask again");
+    balancer.routes = (Version(1), Arc::new(old));
+    assert_eq!((balancer.admits(&first), balancer.admits(&second)), (Ok(()), Ok(())));
+    balancer.routes = (Version(3), Arc::new(routes(r#"{"name":"one","keys":["k-1"]}"#).into()));
+    assert_eq!((balancer.admits(&first), balancer.admits(&second)), (Ok(()), Err(RefusalReason::UnknownKey)));
+    balancer.routes = (Version(4), Arc::new(routes(r#"{"name":"two","keys":["k-1"]}"#).into()));
+    assert_eq!(balancer.admits(&first), Err(RefusalReason::KeyReassigned));
+    assert_eq!(
+        Refusal::new(RefusalReason::KeyReassigned, 1).status(),
+        503,
+        "the key is known: the client may ask again"
+    );
 }
 
 #[test]
--- a/tests/transfer_ids.rs
+++ b/tests/transfer_ids.rs
@@ -4,9 +4,9 @@
 mod given;
 
 use bytes::Bytes;
-use given::{NOW, event, gate, moving, request, streaming, text};
+use given::{NOW, balancer, event, moving, request, streaming, text};
 use spindledock::forwarding::{AnswerEnd, In, Out, RequestFlow};
-use spindledock::gate::Gate;
+use spindledock::gate::Balancer;
 use spindledock::transfer::continuation::{RunContract, Sequence};
 
 const PASSED: u64 = 3;
@@ -16,10 +16,10 @@
     Bytes::from(format!("id: {n}\ndata: v{n}\n\n"))
 }
 
-fn begin() -> (Gate, RequestFlow, String) {
-    let mut g = gate(&["a1", "a2"]);
+fn begin() -> (Balancer, RequestFlow, String) {
+    let mut g = balancer(&["a1", "a2"]);
     let mut r = request(true);
-    r.order.runs = RunContract::SameIds;
+    r.spec.run_contract = RunContract::SameIds;
     let passed = streaming(&mut r, &mut g, PASSED);
     let from = r.runner_of(1).expect("an attempt").0;
     moving(&mut g, &from, if from == "a1" { "a2" } else { "a1" });
--- a/tests/tries.rs
+++ b/tests/tries.rs
@@ -1,29 +1,29 @@
 mod common;
 
 use common::{seeded, sound};
-use spindledock::gate::budget::{LEAST, Tries};
+use spindledock::gate::budget::{MIN_CREDIT_LIMIT, RetryBudget};
 use spindledock::kernel::time::{Span, Time};
 use spindledock::launch::deployment::vanua;
 use spindledock::sim::World;
 use spindledock::sim::check_tries::{small_allowance, worst};
 use spindledock::sim::report::Report;
 
-fn group(n: usize, share: f64) -> Vec<Tries> {
-    (0..n).map(|_| Tries::with(share)).collect()
+fn group(n: usize, share: f64) -> Vec<RetryBudget> {
+    (0..n).map(|_| RetryBudget::with_credit_limit(share)).collect()
 }
 
-fn spend_all(rows: &mut [Tries], now: Time, out: &mut Vec<(Time, bool)>) {
+fn spend_all(rows: &mut [RetryBudget], now: Time, out: &mut Vec<(Time, bool)>) {
     for t in rows {
-        while t.spend() {
+        while t.try_spend() {
             out.push((now, false));
         }
     }
 }
 
-fn firsts(rows: &mut [Tries], n: u64, now: Time, out: &mut Vec<(Time, bool)>) {
+fn firsts(rows: &mut [RetryBudget], n: u64, now: Time, out: &mut Vec<(Time, bool)>) {
     for t in rows {
         for _ in 0..n {
-            t.first();
+            t.record_first_send();
             out.push((now, true));
         }
     }
@@ -35,13 +35,13 @@
         let mut rows = group(routers, allowance as f64 / routers as f64);
         let mut out = Vec::new();
         firsts(&mut rows, 1000, Time(1_000_000), &mut out);
-        let held: u64 = rows.iter_mut().map(|t| u64::from(t.reserve(2)) * 2).sum();
+        let held: u64 = rows.iter_mut().map(|t| u64::from(t.try_reserve(2)) * 2).sum();
         assert_eq!(held, 2 * routers as u64);
         firsts(&mut rows, 1000, Time(2_000_000), &mut out);
         spend_all(&mut rows, Time(90_000_000), &mut out);
         for t in &mut rows {
             for _ in 0..2 {
-                t.spend_held();
+                t.spend_reserved();
                 out.push((Time(90_000_000), false));
             }
         }
@@ -57,19 +57,19 @@
 fn given_ten_restarts_of_a_router_when_it_has_had_no_traffic_then_it_has_no_tries_to_spend() {
     let spent: u64 = (0..10)
         .map(|_| {
-            let mut t = Tries::with(5.0);
-            t.first();
+            let mut t = RetryBudget::with_credit_limit(5.0);
+            t.record_first_send();
             let mut n = 0;
-            while t.spend() {
+            while t.try_spend() {
                 n += 1;
             }
             n
         })
         .sum();
     assert_eq!(spent, 0);
-    let mut t = Tries::with(0.1);
-    (0..100).for_each(|_| t.first());
-    assert!(t.reserve(LEAST), "a group larger than its allowance can still move a stream");
+    let mut t = RetryBudget::with_credit_limit(0.1);
+    (0..100).for_each(|_| t.record_first_send());
+    assert!(t.try_reserve(MIN_CREDIT_LIMIT), "a group larger than its allowance can still move a stream");
 }
 
 #[test]
--- a/tests/wait.rs
+++ b/tests/wait.rs
@@ -5,8 +5,8 @@
 use spindledock::fleet::read::read_text;
 use spindledock::fleet::runner::{Runner, RunnerReport};
 use spindledock::fleet::slice::service_slice;
-use spindledock::gate::order::Why;
-use spindledock::gate::{Gate, Order, Plan};
+use spindledock::gate::order::RefusalReason;
+use spindledock::gate::{Balancer, RequestSpec, RoutingDecision};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::launch::deployment::{quebec, vanua};
@@ -16,7 +16,7 @@
 
 const NOW: Time = Time(100_000_000);
 
-fn gate(holds: &[&str], running: u64) -> Gate {
+fn balancer(holds: &[&str], running: u64) -> Balancer {
     let text = r#"{"store":{"loads_per_minute":60,"burst":1},
         "models":[{"name":"big","weight_mb":60,"load_ms":20000},{"name":"low","weight_mb":30,"load_ms":1000}],
         "services":[{"name":"s","sort":"assistant","models":["big","low"]}]}"#;
@@ -30,14 +30,14 @@
         leaving: false,
     });
     slice.duty = Term(1);
-    let mut g = Gate::new(Name::from("s"), Name::from("z1"));
-    g.learn(Version(1), slice, NOW);
+    let mut g = Balancer::new(Name::from("s"), Name::from("z1"));
+    g.apply_slice(Version(1), slice, NOW);
     fresh(&mut g, NOW, holds, running);
     g
 }
 
-fn fresh(g: &mut Gate, now: Time, holds: &[&str], running: u64) {
-    (g.proven, g.routes_proven) = (now, now);
+fn fresh(g: &mut Balancer, now: Time, holds: &[&str], running: u64) {
+    (g.proven_at, g.routes_proven_at) = (now, now);
     let report = RunnerReport {
         instance: Name::from("a"),
         holds: holds.iter().map(|h| Name::from(*h)).collect(),
@@ -45,57 +45,60 @@
         running,
         ..RunnerReport::default()
     };
-    g.report(now, &Name::from("a"), report);
+    g.on_report(now, &Name::from("a"), report);
 }
 
-fn order(id: u64, model: &str, now: Time, due: u64) -> Order {
-    Order {
+fn order(id: u64, model: &str, now: Time, due: u64) -> RequestSpec {
+    RequestSpec {
         id,
         service: Name::from("s"),
         class: Class::Chat,
         model: model.into(),
         adapter: "".into(),
         prefix: "".into(),
-        resumable: true,
-        due: now + Span::ms(due),
-        end: now + Span::ms(due),
+        is_resumable: true,
+        start_deadline: now + Span::ms(due),
+        answer_deadline: now + Span::ms(due),
         path: "".into(),
-        ..Order::default()
+        ..RequestSpec::default()
     }
 }
 
-fn refused(plan: Plan) -> Option<(Why, u64)> {
-    if let Plan::Refuse(r) = plan { Some((r.why, r.retry_s())) } else { None }
+fn refused(plan: RoutingDecision) -> Option<(RefusalReason, u64)> {
+    if let RoutingDecision::Refuse(r) = plan { Some((r.reason, r.retry_s())) } else { None }
 }
 
 #[test]
 fn given_a_load_longer_than_the_due_when_an_order_enters_then_it_is_refused_at_once_with_the_load_time() {
-    let mut g = gate(&["low"], 0);
-    assert_eq!(refused(g.enter(NOW, &order(1, "big", NOW, 5000))), Some((Why::TooLong, 20)));
-    assert!(matches!(g.enter(NOW, &order(2, "big", NOW, 25_000)), Plan::Wait(_)));
+    let mut g = balancer(&["low"], 0);
+    assert_eq!(
+        refused(g.route_new(NOW, &order(1, "big", NOW, 5000))),
+        Some((RefusalReason::WaitTooLong, 20))
+    );
+    assert!(matches!(g.route_new(NOW, &order(2, "big", NOW, 25_000)), RoutingDecision::Wait(_)));
     let wanted: Vec<u64> = g.demand.values().map(|rows| rows.len() as u64).collect();
     assert_eq!(wanted, [2], "each order is counted once, the refused one too");
     let mut slice = (*g.slice.clone().expect("there")).clone();
     slice.duty = Term(2);
-    g.learn(Version(2), slice, NOW);
-    let got = refused(g.enter(NOW, &order(3, "big", NOW, 23_000)));
-    assert_eq!(got, Some((Why::TooLong, 24)), "a new holder is quiet for 4 s first");
+    g.apply_slice(Version(2), slice, NOW);
+    let got = refused(g.route_new(NOW, &order(3, "big", NOW, 23_000)));
+    assert_eq!(got, Some((RefusalReason::WaitTooLong, 24)), "a new holder is quiet for 4 s first");
 }
 
 #[test]
 fn given_a_measured_pace_when_the_inbox_is_longer_than_the_due_allows_then_the_rest_is_refused_at_once() {
-    let mut g = gate(&["low"], 2);
-    g.pace.ended("low", Span::ms(2000));
+    let mut g = balancer(&["low"], 2);
+    g.throughput.record_occupancy("low", Span::ms(2000));
     for id in 1..=3 {
-        let plan = g.enter(NOW, &order(id, "low", NOW, 3500));
-        assert!(matches!(plan, Plan::Wait(_)), "{id}: {plan:?}");
+        let plan = g.route_new(NOW, &order(id, "low", NOW, 3500));
+        assert!(matches!(plan, RoutingDecision::Wait(_)), "{id}: {plan:?}");
         g.wait(NOW, order(id, "low", NOW, 3500), vec![], Box::new(|_| Ok(())));
     }
-    assert_eq!(refused(g.enter(NOW, &order(4, "low", NOW, 3500))), Some((Why::TooLong, 4)));
+    assert_eq!(refused(g.route_new(NOW, &order(4, "low", NOW, 3500))), Some((RefusalReason::WaitTooLong, 4)));
     let later = NOW + Span::ms(3000);
     fresh(&mut g, later, &["low"], 2);
-    g.wake(later);
-    assert_eq!(g.inbox.len(), 0, "on every wake, those that can no longer be served are told so");
+    g.route_waiting(later);
+    assert_eq!(g.queue.len(), 0, "on every wake, those that can no longer be served are told so");
 }
 
 #[test]
--- a/tests/waiter.rs
+++ b/tests/waiter.rs
@@ -6,11 +6,11 @@
 mod silent;
 
 use bytes::Bytes;
-use given::{NOW, gate, report, request, streaming, text};
+use given::{NOW, balancer, report, request, streaming, text};
 use silent::{ALL, SILENCE, Story, second};
 use spindledock::forwarding::{AnswerEnd, In, Out, RequestFlow};
-use spindledock::gate::order::Why;
-use spindledock::gate::{Gate, Plan};
+use spindledock::gate::order::RefusalReason;
+use spindledock::gate::{Balancer, RoutingDecision};
 use spindledock::kernel::time::Span;
 use spindledock::transfer::continuation::RunContract;
 use std::sync::{Arc, Mutex};
@@ -19,14 +19,14 @@
 const RUNNERS: [&str; 3] = ["a1", "a2", "a3"];
 
 /// The requests under way at all runners, as the gate counts them.
-fn taken(gate: &Gate) -> u64 {
-    gate.health.values().map(|h| h.mine).sum()
+fn taken(balancer: &Balancer) -> u64 {
+    balancer.health.values().map(|h| h.own_requests).sum()
 }
 
 /// A stream lost by its first runner; the second, asked to go on, is silent, and a third run stands by.
 fn resumed_and_silent(runs: RunContract, passed: u64) -> Story {
     let mut story = Story::silent(runs, passed, 1);
-    story.request.order.tries = 4;
+    story.request.spec.max_attempts = 4;
     story.feed(In::Lost { attempt: 1 });
     assert!(story.opened(2).is_some(), "{:?}", story.outs);
     story.wait(SILENCE);
@@ -42,7 +42,7 @@
         &|| In::Shed { attempt: 2, gone: false },
         &|| In::Shed { attempt: 2, gone: true },
         &|| In::OpenFailed { attempt: 2, why: None },
-        &|| In::OpenFailed { attempt: 2, why: Some(Why::NoRunner) },
+        &|| In::OpenFailed { attempt: 2, why: Some(RefusalReason::NoRunner) },
         &|| In::Head { attempt: 2, status: 500, stream: false },
         &|| words("id: 77\ndata: other\n\n"),
         &|| In::Lost { attempt: 2 },
@@ -63,15 +63,19 @@
                 story.feed(In::End { attempt: 3, end: AnswerEnd::Framed });
                 assert!(story.finished() && !story.broken(), "{what}: {:?}", story.outs);
                 assert_eq!(story.ids(), (1..=ALL).collect::<Vec<_>>(), "{what}");
-                assert_eq!((story.gate.inbox.len(), taken(&story.gate)), (0, 0), "{what}: something stays");
+                assert_eq!(
+                    (story.balancer.queue.len(), taken(&story.balancer)),
+                    (0, 0),
+                    "{what}: something stays"
+                );
             }
         }
     }
 }
 
 /// A stream of which two events were passed on; its runner is lost and no other has room.
-fn lost_and_waiting() -> (Gate, RequestFlow, Arc<Mutex<Vec<Plan>>>) {
-    let mut g = gate(&["a1", "a2"]);
+fn lost_and_waiting() -> (Balancer, RequestFlow, Arc<Mutex<Vec<RoutingDecision>>>) {
+    let mut g = balancer(&["a1", "a2"]);
     let mut r = request(true);
     streaming(&mut r, &mut g, 2);
     RUNNERS[..2].iter().for_each(|name| report(&mut g, NOW, name, 8));
@@ -80,13 +84,13 @@
     else {
         panic!("{outs:?}")
     };
-    let plans: Arc<Mutex<Vec<Plan>>> = Arc::default();
+    let plans: Arc<Mutex<Vec<RoutingDecision>>> = Arc::default();
     let woken = plans.clone();
     let wake = Box::new(move |plan| {
         woken.lock().expect("plans").push(plan);
         Ok(())
     });
-    g.wait(NOW, r.order.clone(), avoid.clone(), wake);
+    g.wait(NOW, r.spec.clone(), avoid.clone(), wake);
     (g, r, plans)
 }
 
@@ -95,13 +99,13 @@
 fn given_a_request_that_waits_when_it_is_over_then_neither_a_waiter_nor_a_slot_stays() {
     for late in [false, true] {
         let (mut g, mut r, plans) = lost_and_waiting();
-        assert_eq!(g.inbox.len(), 1);
+        assert_eq!(g.queue.len(), 1);
         if late {
             RUNNERS[..2].iter().for_each(|name| report(&mut g, NOW, name, 0));
-            g.wake(NOW);
+            g.route_waiting(NOW);
         }
         r.step(NOW, In::Gone, &mut g);
-        assert_eq!(g.inbox.len(), 0, "the waiter stays");
+        assert_eq!(g.queue.len(), 0, "the waiter stays");
         for plan in plans.lock().expect("plans").drain(..) {
             assert!(late, "{plan:?}");
             r.step(NOW, In::Woken(plan), &mut g);
@@ -116,13 +120,13 @@
  {
     let mut story = resumed_and_silent(RunContract::SameIds, 2);
     let before = story.outs.len();
-    let busy = taken(&story.gate);
-    let order = story.request.order.clone();
-    let plan = story.gate.plan(story.now, &order, &[]);
-    assert!(matches!(plan, Plan::Send(_)), "{plan:?}");
+    let busy = taken(&story.balancer);
+    let order = story.request.spec.clone();
+    let plan = story.balancer.route(story.now, &order, &[]);
+    assert!(matches!(plan, RoutingDecision::Send(_)), "{plan:?}");
     story.feed(In::Woken(plan));
     assert!(story.opened(4).is_none(), "{:?}", &story.outs[before..]);
-    assert_eq!(taken(&story.gate), busy, "the slot was not given back");
+    assert_eq!(taken(&story.balancer), busy, "the slot was not given back");
     story.wait(Span::ms(100));
     assert!(text(&story.outs).contains("w2") && !story.broken());
 }
@@ -132,18 +136,21 @@
 #[test]
 fn given_a_waiter_whose_forwarding_has_ended_when_a_thread_without_a_runtime_wakes_it_then_its_slot_is_free()
 {
-    let mut g = gate(&["a1"]);
+    let mut g = balancer(&["a1"]);
     report(&mut g, NOW, "a1", 8);
-    let order = request(true).order;
+    let order = request(true).spec;
     g.wait(NOW, order.clone(), vec![], Box::new(Err));
-    g.wake(NOW);
-    assert_eq!((g.inbox.len(), taken(&g)), (1, 0));
+    g.route_waiting(NOW);
+    assert_eq!((g.queue.len(), taken(&g)), (1, 0));
     report(&mut g, NOW, "a1", 0);
     let g = std::thread::spawn(move || {
-        g.wake(NOW);
+        g.route_waiting(NOW);
         g
     });
     let mut g = g.join().expect("the thread lives on");
-    assert_eq!((g.inbox.len(), taken(&g)), (0, 0));
-    assert!(matches!(g.plan(NOW, &order, &[]), Plan::Send(_)), "the slot serves the next request");
+    assert_eq!((g.queue.len(), taken(&g)), (0, 0));
+    assert!(
+        matches!(g.route(NOW, &order, &[]), RoutingDecision::Send(_)),
+        "the slot serves the next request"
+    );
 }
