--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -105,7 +105,7 @@
     let links = Links::new(tokio::runtime::Handle::current());
     let table = Arc::new(match c.protocols.runner.plain_services_report() {
         true => BalancerTable::new(c.domain.clone(), Span::ms(c.proof_ms)),
-        false => BalancerTable::with_plain_unreported(c.domain.clone(), Span::ms(c.proof_ms)),
+        false => BalancerTable::with_unpolled_plain_runners(c.domain.clone(), Span::ms(c.proof_ms)),
     });
     services.add(links.clone());
     services.add(table.clone());
--- a/src/forwarding/failure.rs
+++ b/src/forwarding/failure.rs
@@ -7,19 +7,19 @@
 use crate::kernel::time::Time;
 
 impl RequestFlow {
-    pub fn open_failed(
+    pub fn on_open_failed(
         &mut self,
         now: Time,
         attempt: AttemptNo,
         why: Option<RefusalReason>,
         balancer: &mut Balancer,
-        out: &mut Vec<Out>,
+        out: &mut Vec<FlowAction>,
     ) {
-        self.opened = self.opened.saturating_sub(1);
+        self.attempts_opened = self.attempts_opened.saturating_sub(1);
         let Some(runner) = self.attempt(attempt).map(|l| l.runner.instance.clone()) else { return };
         let good = if why.is_none() { Some(false) } else { None };
         self.close(now, attempt, good, balancer, out);
-        if self.began || self.sent {
+        if self.is_answer_started || self.may_have_run {
             return self.resume(now, runner, balancer, out);
         }
         match why {
@@ -28,7 +28,7 @@
             }
             Some(_) => {
                 let plan = balancer.route(now, &self.spec, &self.avoid);
-                self.again(now, plan, balancer, out);
+                self.apply_retry_decision(now, plan, balancer, out);
             }
             None => {
                 balancer.on_unreachable(now, &runner);
@@ -38,26 +38,38 @@
                     return self.refuse(now, Refusal::new(RefusalReason::RetryBudgetSpent, 1), balancer, out);
                 }
                 let plan = balancer.route(now, &self.spec, &self.avoid);
-                self.again(now, plan, balancer, out);
+                self.apply_retry_decision(now, plan, balancer, out);
             }
         }
     }
 
-    pub fn again(&mut self, now: Time, plan: RoutingDecision, balancer: &mut Balancer, out: &mut Vec<Out>) {
+    pub fn apply_retry_decision(
+        &mut self,
+        now: Time,
+        plan: RoutingDecision,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
         match plan {
             RoutingDecision::Send(runner) => self.open_main(now, runner, out),
-            RoutingDecision::Wait(_) => self.wait(out),
+            RoutingDecision::Wait(_) => self.wait_for_runner(out),
             RoutingDecision::Refuse(r) => self.refuse(now, r, balancer, out),
         }
     }
 
-    pub fn lost(&mut self, now: Time, attempt: AttemptNo, balancer: &mut Balancer, out: &mut Vec<Out>) {
+    pub fn on_main_lost(
+        &mut self,
+        now: Time,
+        attempt: AttemptNo,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
         let Some(runner) = self.attempt(attempt).map(|l| l.runner.instance.clone()) else { return };
-        self.source_failed(now, balancer, out);
-        self.sent = true;
+        self.on_source_failed(now, balancer, out);
+        self.may_have_run = true;
         self.close(now, attempt, Some(false), balancer, out);
         balancer.count("lost");
-        if self.stream || !self.began || self.spec.route_kind == RouteKind::Idempotent {
+        if self.is_stream || !self.is_answer_started || self.spec.route_kind == RouteKind::Idempotent {
             return self.resume(now, runner, balancer, out);
         }
         self.refuse(now, Refusal::new(RefusalReason::NoRunner, 1), balancer, out);
--- a/src/forwarding/migration.rs
+++ b/src/forwarding/migration.rs
@@ -3,193 +3,240 @@
 use crate::kernel::ids::MoveId;
 use crate::kernel::time::{Span, Time};
 use crate::transfer::Handover;
-use crate::transfer::event_buffer::Item;
-use crate::transfer::handover::Out as Hand;
+use crate::transfer::event_buffer::StreamEvent;
+use crate::transfer::handover::HandoverAction;
 
-const AGAIN: Span = Span::ms(1000);
-const ATTEMPTS: u64 = 5;
-const NEEDS: u64 = 2;
+const MOVE_RETRY_PAUSE: Span = Span::ms(1000);
+const MOVE_ATTEMPTS_MAX: u64 = 5;
+const MOVE_RESERVED_ATTEMPTS: u64 = 2;
 
 impl RequestFlow {
     /// An event of the run that a stream is being moved to, other than a piece of its answer.
-    pub fn dest_event(&mut self, now: Time, ev: In, balancer: &mut Balancer, out: &mut Vec<Out>) {
+    pub fn on_destination_event(
+        &mut self,
+        now: Time,
+        ev: FlowEvent,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
         match ev {
-            In::OpenFailed { .. } => {
-                self.dest_failed(now, "the destination could not be reached", balancer, out)
+            FlowEvent::OpenFailed { .. } => {
+                self.on_destination_failed(now, "the destination could not be reached", balancer, out)
+            }
+            FlowEvent::Lost { .. } => {
+                self.on_destination_failed(now, "the destination failed", balancer, out)
+            }
+            FlowEvent::Rejected { .. } => {
+                self.on_destination_failed(now, "the destination turned it away", balancer, out)
             }
-            In::Lost { .. } => self.dest_failed(now, "the destination failed", balancer, out),
-            In::Shed { .. } => self.dest_failed(now, "the destination turned it away", balancer, out),
-            In::Head { attempt, status, stream } => {
-                self.heard = now;
+            FlowEvent::Head { attempt, status, is_stream: stream } => {
+                self.heard_at = now;
                 if stream && status == 200 {
-                    return self.head_came(attempt);
+                    return self.on_head(attempt);
                 }
-                self.dest_failed(now, "the destination did not answer with a stream", balancer, out);
+                self.on_destination_failed(
+                    now,
+                    "the destination did not answer with a stream",
+                    balancer,
+                    out,
+                );
             }
-            In::End { attempt, end } => {
+            FlowEvent::End { attempt, end } => {
                 if let Some(run) = self.attempt(attempt) {
-                    run.ended = Some(end);
+                    run.deferred_end = Some(end);
                 }
-                self.dest_ended(now, balancer, out);
+                self.on_destination_end(now, balancer, out);
             }
             _ => {}
         }
     }
 
-    pub fn main_item(&mut self, now: Time, item: Item, balancer: &mut Balancer, out: &mut Vec<Out>) {
-        let Some((_, hand)) = &mut self.hand else { return self.pass_item(item, out) };
-        let steps = hand.source(now, item);
-        self.apply(now, steps, balancer, out);
+    pub fn on_source_item(
+        &mut self,
+        now: Time,
+        item: StreamEvent,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
+        let Some((_, handover)) = &mut self.handover else { return self.forward_event(item, out) };
+        let steps = handover.on_source_event(now, item);
+        self.apply_handover(now, steps, balancer, out);
     }
 
-    pub fn dest_item(&mut self, now: Time, item: Item, balancer: &mut Balancer, out: &mut Vec<Out>) {
-        let Some((_, hand)) = &mut self.hand else { return };
-        let steps = hand.dest(now, item);
-        self.apply(now, steps, balancer, out);
+    pub fn on_destination_item(
+        &mut self,
+        now: Time,
+        item: StreamEvent,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
+        let Some((_, handover)) = &mut self.handover else { return };
+        let steps = handover.on_destination_event(now, item);
+        self.apply_handover(now, steps, balancer, out);
     }
 
-    pub fn dest_failed(&mut self, now: Time, why: &'static str, balancer: &mut Balancer, out: &mut Vec<Out>) {
-        let Some((_, hand)) = &mut self.hand else { return };
-        let steps = hand.dest_failed(why);
-        self.apply(now, steps, balancer, out);
+    pub fn on_destination_failed(
+        &mut self,
+        now: Time,
+        why: &'static str,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
+        let Some((_, handover)) = &mut self.handover else { return };
+        let steps = handover.on_destination_failed(why);
+        self.apply_handover(now, steps, balancer, out);
     }
 
-    pub fn dest_ended(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<Out>) {
-        let Some((_, hand)) = &mut self.hand else { return };
-        let steps = hand.dest_end();
-        self.apply(now, steps, balancer, out);
+    pub fn on_destination_end(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
+        let Some((_, handover)) = &mut self.handover else { return };
+        let steps = handover.on_destination_end();
+        self.apply_handover(now, steps, balancer, out);
     }
 
-    pub fn source_ended(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<Out>) {
-        let Some((_, hand)) = &mut self.hand else { return };
-        let steps = hand.source_end();
-        self.apply(now, steps, balancer, out);
+    pub fn on_source_end(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
+        let Some((_, handover)) = &mut self.handover else { return };
+        let steps = handover.on_source_end();
+        self.apply_handover(now, steps, balancer, out);
     }
 
-    pub fn source_failed(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<Out>) {
-        let Some((_, hand)) = &mut self.hand else { return };
-        let steps = hand.source_failed();
-        self.apply(now, steps, balancer, out);
+    pub fn on_source_failed(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
+        let Some((_, handover)) = &mut self.handover else { return };
+        let steps = handover.on_source_failed();
+        self.apply_handover(now, steps, balancer, out);
     }
 
-    pub(super) fn apply(&mut self, now: Time, steps: Vec<Hand>, balancer: &mut Balancer, out: &mut Vec<Out>) {
+    pub(super) fn apply_handover(
+        &mut self,
+        now: Time,
+        steps: Vec<HandoverAction>,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
         for step in steps {
             match step {
-                Hand::Pass(item) => self.pass_item(item, out),
-                Hand::CloseDest => {
-                    if let Some(attempt) = self.hand.as_ref().map(|h| h.0) {
+                HandoverAction::Forward(item) => self.forward_event(item, out),
+                HandoverAction::CloseDestination => {
+                    if let Some(attempt) = self.handover.as_ref().map(|h| h.0) {
                         self.close(now, attempt, None, balancer, out);
                     }
                 }
-                Hand::Open { last, cut } => {
-                    let Some((_, hand)) = &self.hand else { return };
-                    let (id, to) = (hand.id, hand.to.clone());
-                    let kept = cut || hand.round == 1;
-                    if !self.open_dest(now, id, &to, (last, kept), balancer, out) {
-                        let Some((_, hand)) = &mut self.hand else { return };
-                        let more = hand.dest_failed("the destination is not listed, or the budget is spent");
-                        return self.apply(now, more, balancer, out);
+                HandoverAction::Open { last_event_id: last, is_cut: cut } => {
+                    let Some((_, handover)) = &self.handover else { return };
+                    let (id, to) = (handover.id, handover.to.clone());
+                    let kept = cut || handover.round == 1;
+                    if !self.open_destination(now, id, &to, (last, kept), balancer, out) {
+                        let Some((_, handover)) = &mut self.handover else { return };
+                        let more = handover
+                            .on_destination_failed("the destination is not listed, or the budget is spent");
+                        return self.apply_handover(now, more, balancer, out);
                     }
                 }
-                Hand::Switch => self.switch(now, balancer, out),
-                Hand::Abort(why) => {
-                    let Some((_, hand)) = self.hand.take() else { return };
-                    balancer.retry_budget.return_reserved(std::mem::take(&mut self.reserved));
-                    balancer.move_report_mut(hand.id).aborted += 1;
-                    self.hand_off = Some((hand.id, now + AGAIN, self.tried(hand.id) + 1));
-                    out.push(Out::Told("move-aborted", format!("{} {why}", hand.id)));
+                HandoverAction::Switch => self.switch_to_destination(now, balancer, out),
+                HandoverAction::Abort(why) => {
+                    let Some((_, handover)) = self.handover.take() else { return };
+                    balancer.retry_budget.return_reserved(std::mem::take(&mut self.reserved_attempts));
+                    balancer.move_report_mut(handover.id).aborted += 1;
+                    self.last_handover =
+                        Some((handover.id, now + MOVE_RETRY_PAUSE, self.handover_attempts(handover.id) + 1));
+                    out.push(FlowAction::Log("move-aborted", format!("{} {why}", handover.id)));
                 }
-                Hand::Abandon => {
-                    let Some((_, hand)) = self.hand.take() else { return };
-                    balancer.retry_budget.return_reserved(std::mem::take(&mut self.reserved));
-                    balancer.move_report_mut(hand.id).aborted += 1;
-                    out.push(Out::Told("move-abandoned", format!("{} the source finished", hand.id)));
+                HandoverAction::Abandon => {
+                    let Some((_, handover)) = self.handover.take() else { return };
+                    balancer.retry_budget.return_reserved(std::mem::take(&mut self.reserved_attempts));
+                    balancer.move_report_mut(handover.id).aborted += 1;
+                    out.push(FlowAction::Log(
+                        "move-abandoned",
+                        format!("{} the source finished", handover.id),
+                    ));
                 }
             }
         }
         let main = self.main;
-        if self.hand.is_none()
-            && let Some(end) = self.attempt(main).and_then(|l| l.ended)
+        if self.handover.is_none()
+            && let Some(end) = self.attempt(main).and_then(|l| l.deferred_end)
         {
-            self.ended(now, main, end, balancer, out);
+            self.on_main_end(now, main, end, balancer, out);
         }
     }
 
-    fn open_dest(
+    fn open_destination(
         &mut self,
         now: Time,
         id: MoveId,
         to: &crate::kernel::ids::Name,
         (last, kept): (Option<String>, bool),
         balancer: &mut Balancer,
-        out: &mut Vec<Out>,
+        out: &mut Vec<FlowAction>,
     ) -> bool {
         let listed =
             balancer.slice.as_ref().and_then(|s| s.runners.iter().find(|r| r.instance == *to).cloned());
         let marked = balancer.health.get(to).is_some_and(|h| h.is_leaving);
         let Some(runner) = listed.filter(|r| !r.leaving && !marked) else { return false };
-        if kept && self.reserved > 0 {
-            self.reserved -= 1;
+        if kept && self.reserved_attempts > 0 {
+            self.reserved_attempts -= 1;
             balancer.retry_budget.spend_reserved();
         } else if !balancer.retry_budget.try_spend() {
             return false;
         }
         balancer.move_report_mut(id).tries += 1;
         balancer.claim_slot(now, &runner, &self.spec);
-        let heard = self.heard;
+        let heard = self.heard_at;
         let no = self.open(now, runner, last, out);
-        self.heard = heard;
-        if let Some(h) = &mut self.hand {
+        self.heard_at = heard;
+        if let Some(h) = &mut self.handover {
             h.0 = no;
         }
         true
     }
 
-    fn switch(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<Out>) {
-        let Some((attempt, hand)) = self.hand.take() else { return };
+    fn switch_to_destination(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
+        let Some((attempt, handover)) = self.handover.take() else { return };
         let old = self.main;
         self.main = attempt;
-        self.heard = now;
+        self.heard_at = now;
         self.close(now, old, None, balancer, out);
-        balancer.move_report_mut(hand.id).moved += 1;
-        let text = format!("{} rounds={} gaps={:?} ms={:?}", hand.id, hand.round, hand.gaps, hand.rounds_ms);
-        out.push(Out::Told("move-done", text));
+        balancer.move_report_mut(handover.id).moved += 1;
+        let text = format!(
+            "{} rounds={} gaps={:?} ms={:?}",
+            handover.id, handover.round, handover.gaps, handover.rounds_ms
+        );
+        out.push(FlowAction::Log("move-done", text));
     }
 
-    fn tried(&self, id: MoveId) -> u64 {
-        self.hand_off.filter(|o| o.0 == id).map_or(0, |o| o.2)
+    fn handover_attempts(&self, id: MoveId) -> u64 {
+        self.last_handover.filter(|o| o.0 == id).map_or(0, |o| o.2)
     }
 
-    pub(super) fn begin(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<Out>) {
+    pub(super) fn begin_handover(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         let main = self.main;
         let Some(from) = self.runner_of(main) else { return };
         let Some(plan) = balancer.move_from(&from, &self.spec.model) else { return };
-        if let Some((id, after, n)) = self.hand_off
+        if let Some((id, after, n)) = self.last_handover
             && id == plan.id
-            && (now < after || n >= ATTEMPTS)
+            && (now < after || n >= MOVE_ATTEMPTS_MAX)
         {
             return;
         }
-        if self.opened >= self.spec.max_attempts {
+        if self.attempts_opened >= self.spec.max_attempts {
             return;
         }
         let Some(s) = balancer.slice.clone() else { return };
         if !balancer.has_slot(now, &plan.to) {
-            self.hand_off = Some((plan.id, now + AGAIN, self.tried(plan.id)));
+            self.last_handover = Some((plan.id, now + MOVE_RETRY_PAUSE, self.handover_attempts(plan.id)));
             balancer.move_report_mut(plan.id).postponed += 1;
             return;
         }
-        if !balancer.retry_budget.try_reserve(NEEDS) {
+        if !balancer.retry_budget.try_reserve(MOVE_RESERVED_ATTEMPTS) {
             balancer.move_report_mut(plan.id).postponed += 1;
-            self.hand_off = Some((plan.id, now + AGAIN, self.tried(plan.id)));
+            self.last_handover = Some((plan.id, now + MOVE_RETRY_PAUSE, self.handover_attempts(plan.id)));
             return;
         }
-        self.reserved = NEEDS;
-        self.opened += 1;
+        self.reserved_attempts = MOVE_RESERVED_ATTEMPTS;
+        self.attempts_opened += 1;
         let rules = (s.moving.clone(), self.spec.run_contract);
         let last = self.sequence.last().map(|last| last.to_string());
-        let (hand, steps) = Handover::new(plan.id, plan.to.clone(), rules, now, last);
-        self.hand = Some((0, hand));
-        self.apply(now, steps, balancer, out);
+        let (handover, steps) = Handover::new(plan.id, plan.to.clone(), rules, now, last);
+        self.handover = Some((0, handover));
+        self.apply_handover(now, steps, balancer, out);
     }
 }
--- a/src/forwarding/mod.rs
+++ b/src/forwarding/mod.rs
@@ -1,5 +1,6 @@
 pub mod answer_end;
 pub mod attempt;
+pub mod events;
 pub mod failure;
 pub mod migration;
 pub mod request;
@@ -8,4 +9,4 @@
 pub mod standby;
 pub mod tick;
 pub use answer_end::AnswerEnd;
-pub use request::{In, Out, RequestFlow};
+pub use request::{FlowAction, FlowEvent, RequestFlow};
--- a/src/forwarding/request.rs
+++ b/src/forwarding/request.rs
@@ -1,95 +1,48 @@
-use super::answer_end::AnswerEnd;
 use super::attempt::RunnerAttempt;
 use crate::fleet::runner::Runner;
-use crate::gate::order::RefusalReason;
 use crate::gate::{Balancer, Refusal, RequestSpec, RoutingDecision};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
-use crate::protocol::Load;
 use crate::transfer::Handover;
 use crate::transfer::continuation::Sequence;
-use crate::transfer::event_buffer::Item;
-use bytes::Bytes;
+use crate::transfer::event_buffer::StreamEvent;
 
-pub const QUIET: Span = Span::ms(30_000);
-pub const DARK_QUIET: Span = Span::ms(1500);
-pub const SLEPT: Span = Span::ms(500);
+pub use super::events::{AttemptNo, FlowAction, FlowEvent};
 
-pub type AttemptNo = u64;
-
-#[derive(Debug)]
-pub enum In {
-    Go,
-    Woken(RoutingDecision),
-    OpenFailed { attempt: AttemptNo, why: Option<RefusalReason> },
-    Lost { attempt: AttemptNo },
-    Shed { attempt: AttemptNo, gone: bool },
-    Load { attempt: AttemptNo, load: Load },
-    Head { attempt: AttemptNo, status: u16, stream: bool },
-    Chunk { attempt: AttemptNo, raw: Bytes },
-    End { attempt: AttemptNo, end: AnswerEnd },
-    Gone,
-    Tick,
-}
-
-impl In {
-    /// The attempt that the event is about.
-    pub fn attempt(&self) -> Option<AttemptNo> {
-        match self {
-            In::OpenFailed { attempt, .. } | In::Lost { attempt } | In::Head { attempt, .. } => {
-                Some(*attempt)
-            }
-            In::Shed { attempt, .. } | In::Load { attempt, .. } => Some(*attempt),
-            In::Chunk { attempt, .. } | In::End { attempt, .. } => Some(*attempt),
-            In::Go | In::Woken(_) | In::Gone | In::Tick => None,
-        }
-    }
-}
-
-#[derive(Debug)]
-pub enum Out {
-    Wait { avoid: Vec<Name> },
-    Open { attempt: AttemptNo, runner: Runner, last: Option<String> },
-    Close { attempt: AttemptNo },
-    Head { attempt: AttemptNo },
-    Pass(Bytes),
-    Finish,
-    Break(&'static str),
-    Refuse(Refusal),
-    Unknown(u16, &'static str),
-    Told(&'static str, String),
-}
+pub const SILENCE_LIMIT: Span = Span::ms(30_000);
+pub const UNREPORTED_SILENCE_LIMIT: Span = Span::ms(1500);
+pub const PROCESS_PAUSE: Span = Span::ms(500);
 
 pub struct RequestFlow {
     pub spec: RequestSpec,
     pub attempts: Vec<RunnerAttempt>,
     pub main: AttemptNo,
-    pub next: AttemptNo,
+    pub next_attempt: AttemptNo,
     pub avoid: Vec<Name>,
-    pub began: bool,
-    pub sent: bool,
-    pub counted: bool,
+    pub is_answer_started: bool,
+    pub may_have_run: bool,
+    pub is_counted: bool,
     /// The ids that were passed on.
     pub sequence: Sequence,
-    pub prev: Option<String>,
-    pub tail: Option<Item>,
-    pub passed: u64,
+    pub previous_event_id: Option<String>,
+    pub last_event: Option<StreamEvent>,
+    pub events_forwarded: u64,
     /// Whether an event without an id was passed on behind the last one with an id.
-    pub unplaced: bool,
-    pub opened: u64,
-    pub hand: Option<(AttemptNo, Handover)>,
-    pub reserved: u64,
-    pub hand_off: Option<(MoveId, Time, u64)>,
-    pub over: bool,
+    pub has_event_without_id: bool,
+    pub attempts_opened: u64,
+    pub handover: Option<(AttemptNo, Handover)>,
+    pub reserved_attempts: u64,
+    pub last_handover: Option<(MoveId, Time, u64)>,
+    pub is_over: bool,
     /// Whether it waits for a runner, by its last word to the forwarding.
-    waiting: bool,
-    pub heard: Time,
-    pub ticked: Time,
-    pub stream: bool,
+    is_waiting: bool,
+    pub heard_at: Time,
+    pub ticked_at: Time,
+    pub is_stream: bool,
     /// Another run that may go on with the stream while its own runner is silent.
     pub standby: Option<AttemptNo>,
     /// No standby is looked for before.
-    pub standby_next: Time,
+    pub next_standby_at: Time,
 }
 
 impl RequestFlow {
@@ -99,122 +52,134 @@
             spec,
             attempts: Vec::new(),
             main: 0,
-            next: 1,
+            next_attempt: 1,
             avoid: Vec::new(),
-            began: false,
-            sent: false,
-            counted: false,
+            is_answer_started: false,
+            may_have_run: false,
+            is_counted: false,
             sequence,
-            prev: None,
-            tail: None,
-            passed: 0,
-            unplaced: false,
-            opened: 0,
-            hand: None,
-            reserved: 0,
-            hand_off: None,
-            over: false,
-            waiting: false,
-            heard: Time(0),
-            ticked: Time(0),
-            stream: false,
+            previous_event_id: None,
+            last_event: None,
+            events_forwarded: 0,
+            has_event_without_id: false,
+            attempts_opened: 0,
+            handover: None,
+            reserved_attempts: 0,
+            last_handover: None,
+            is_over: false,
+            is_waiting: false,
+            heard_at: Time(0),
+            ticked_at: Time(0),
+            is_stream: false,
             standby: None,
-            standby_next: Time(0),
+            next_standby_at: Time(0),
         }
     }
 
-    pub fn step(&mut self, now: Time, ev: In, balancer: &mut Balancer) -> Vec<Out> {
+    pub fn step(&mut self, now: Time, ev: FlowEvent, balancer: &mut Balancer) -> Vec<FlowAction> {
         let mut out = Vec::new();
-        if let In::Woken(plan) = &ev
-            && !std::mem::take(&mut self.waiting)
+        if let FlowEvent::Routed(plan) = &ev
+            && !std::mem::take(&mut self.is_waiting)
         {
-            self.decline(now, plan, balancer);
+            self.return_unused_slot(now, plan, balancer);
             return out;
         }
-        if self.over || self.is_stray(&ev) {
+        if self.is_over || self.is_stray(&ev) {
             return out;
         }
-        if let Some((_, hand)) = &mut self.hand {
-            hand.more = balancer.retry_budget.credit() >= 1.0;
+        if let Some((_, handover)) = &mut self.handover {
+            handover.has_credit = balancer.retry_budget.credit() >= 1.0;
         }
         match ev {
-            In::Go => {
+            FlowEvent::Start => {
                 let plan = balancer.route_new(now, &self.spec);
-                self.carry(now, plan, balancer, &mut out);
+                self.apply_decision(now, plan, balancer, &mut out);
             }
-            In::Woken(plan) => self.carry(now, plan, balancer, &mut out),
-            In::Load { attempt, load } => self.told_load(now, attempt, load, balancer),
-            In::Gone => {
+            FlowEvent::Routed(plan) => self.apply_decision(now, plan, balancer, &mut out),
+            FlowEvent::Load { attempt, load } => self.on_load(now, attempt, load, balancer),
+            FlowEvent::ClientGone => {
                 balancer.count("caller_gone");
                 self.close_all(now, balancer, &mut out);
             }
-            In::Tick => self.tick(now, balancer, &mut out),
-            of_attempt => self.attempt_event(now, of_attempt, balancer, &mut out),
+            FlowEvent::Tick => self.tick(now, balancer, &mut out),
+            of_attempt => self.on_attempt_event(now, of_attempt, balancer, &mut out),
         }
         out
     }
 
-    fn is_stray(&self, ev: &In) -> bool {
+    fn is_stray(&self, ev: &FlowEvent) -> bool {
         ev.attempt().is_some_and(|attempt| self.attempts.iter().all(|l| l.no != attempt))
     }
 
-    fn carry(&mut self, now: Time, plan: RoutingDecision, balancer: &mut Balancer, out: &mut Vec<Out>) {
+    fn apply_decision(
+        &mut self,
+        now: Time,
+        plan: RoutingDecision,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
         match plan {
             RoutingDecision::Send(runner) => {
-                if !self.counted {
-                    self.counted = true;
+                if !self.is_counted {
+                    self.is_counted = true;
                     balancer.retry_budget.record_first_send();
                 }
                 self.open_main(now, runner, out);
             }
-            RoutingDecision::Wait(_) => self.wait(out),
+            RoutingDecision::Wait(_) => self.wait_for_runner(out),
             RoutingDecision::Refuse(r) => self.refuse(now, r, balancer, out),
         }
     }
 
     /// Whether it waits for a runner.
     pub fn is_waiting(&self) -> bool {
-        self.waiting
+        self.is_waiting
     }
 
     /// From now on the request waits for a runner.
-    pub fn wait(&mut self, out: &mut Vec<Out>) {
-        self.waiting = true;
-        out.push(Out::Wait { avoid: self.avoid.clone() });
+    pub fn wait_for_runner(&mut self, out: &mut Vec<FlowAction>) {
+        self.is_waiting = true;
+        out.push(FlowAction::Wait { avoid: self.avoid.clone() });
     }
 
     /// A plan that came when the request no longer waited: its slot is free again.
-    fn decline(&self, now: Time, plan: &RoutingDecision, balancer: &mut Balancer) {
+    fn return_unused_slot(&self, now: Time, plan: &RoutingDecision, balancer: &mut Balancer) {
         if let RoutingDecision::Send(runner) = plan {
             balancer.count("plan_untaken");
             balancer.release_slot(now, &runner.instance, &self.spec.model, None);
         }
     }
 
-    pub fn refuse(&mut self, now: Time, r: Refusal, balancer: &mut Balancer, out: &mut Vec<Out>) {
+    pub fn refuse(&mut self, now: Time, r: Refusal, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         self.close_all(now, balancer, out);
-        if self.began {
+        if self.is_answer_started {
             balancer.count("broken");
-            out.push(Out::Told("stream-broken", self.standing(&r, balancer)));
-            out.push(Out::Break("no runner could go on with the stream"));
-        } else if self.sent {
+            out.push(FlowAction::Log("stream-broken", self.failure_summary(&r, balancer)));
+            out.push(FlowAction::Abort("no runner could go on with the stream"));
+        } else if self.may_have_run {
             balancer.count("unknown");
-            out.push(Out::Unknown(
+            out.push(FlowAction::OutcomeUnknown(
                 502,
                 "the runner was lost after it may have begun; its outcome is not known",
             ));
         } else {
             balancer.count("refused");
-            out.push(Out::Refuse(r));
+            out.push(FlowAction::Refuse(r));
         }
     }
 
-    pub fn open(&mut self, now: Time, runner: Runner, last: Option<String>, out: &mut Vec<Out>) -> AttemptNo {
-        let no = self.next;
-        self.next += 1;
-        self.heard = now;
+    pub fn open(
+        &mut self,
+        now: Time,
+        runner: Runner,
+        last: Option<String>,
+        out: &mut Vec<FlowAction>,
+    ) -> AttemptNo {
+        let no = self.next_attempt;
+        self.next_attempt += 1;
+        self.heard_at = now;
         self.attempts.push(RunnerAttempt::new(no, runner.clone(), now));
-        out.push(Out::Open { attempt: no, runner, last });
+        out.push(FlowAction::Open { attempt: no, runner, last_event_id: last });
         no
     }
 
@@ -224,21 +189,21 @@
         attempt: AttemptNo,
         good: Option<bool>,
         balancer: &mut Balancer,
-        out: &mut Vec<Out>,
+        out: &mut Vec<FlowAction>,
     ) {
         let Some(at) = self.attempts.iter().position(|l| l.no == attempt) else { return };
         let l = self.attempts.remove(at);
-        out.push(Out::Close { attempt });
+        out.push(FlowAction::Close { attempt });
         balancer.release_slot(now, &l.runner.instance, &self.spec.model, good);
     }
 
-    pub fn close_all(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<Out>) {
-        self.over = true;
-        self.waiting = false;
+    pub fn close_all(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
+        self.is_over = true;
+        self.is_waiting = false;
         balancer.queue.remove_request(self.spec.id);
-        self.hand = None;
+        self.handover = None;
         self.standby = None;
-        balancer.retry_budget.return_reserved(std::mem::take(&mut self.reserved));
+        balancer.retry_budget.return_reserved(std::mem::take(&mut self.reserved_attempts));
         let all: Vec<AttemptNo> = self.attempts.iter().map(|l| l.no).collect();
         for attempt in all {
             self.close(now, attempt, None, balancer, out);
--- a/src/forwarding/role.rs
+++ b/src/forwarding/role.rs
@@ -5,7 +5,7 @@
 use super::request::*;
 use crate::gate::Balancer;
 use crate::kernel::time::Time;
-use crate::transfer::event_buffer::Item;
+use crate::transfer::event_buffer::StreamEvent;
 use bytes::Bytes;
 
 /// What a run is for.
@@ -25,90 +25,114 @@
         if self.standby == Some(attempt) {
             return AttemptRole::Standby;
         }
-        match self.hand.as_ref().is_some_and(|hand| hand.0 == attempt) {
+        match self.handover.as_ref().is_some_and(|handover| handover.0 == attempt) {
             true => AttemptRole::Destination,
             false => AttemptRole::Main,
         }
     }
 
     /// Handles an event of a run that is under way.
-    pub fn attempt_event(&mut self, now: Time, ev: In, balancer: &mut Balancer, out: &mut Vec<Out>) {
+    pub fn on_attempt_event(
+        &mut self,
+        now: Time,
+        ev: FlowEvent,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
         let Some(attempt) = ev.attempt() else { return };
-        if let In::Chunk { raw, .. } = &ev {
-            return self.chunk(now, attempt, raw, balancer, out);
+        if let FlowEvent::Chunk { raw, .. } = &ev {
+            return self.on_chunk(now, attempt, raw, balancer, out);
         }
         match self.role_of(attempt) {
-            AttemptRole::Main => self.main_event(now, ev, balancer, out),
-            AttemptRole::Standby => self.standby_event(now, ev, balancer, out),
-            AttemptRole::Destination => self.dest_event(now, ev, balancer, out),
+            AttemptRole::Main => self.on_main_event(now, ev, balancer, out),
+            AttemptRole::Standby => self.on_standby_event(now, ev, balancer, out),
+            AttemptRole::Destination => self.on_destination_event(now, ev, balancer, out),
         }
     }
 
-    fn main_event(&mut self, now: Time, ev: In, balancer: &mut Balancer, out: &mut Vec<Out>) {
+    fn on_main_event(
+        &mut self,
+        now: Time,
+        ev: FlowEvent,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
         match ev {
-            In::OpenFailed { attempt, why } => self.open_failed(now, attempt, why, balancer, out),
-            In::Lost { attempt } => self.lost(now, attempt, balancer, out),
-            In::Shed { attempt, gone } => self.shed(now, attempt, gone, balancer, out),
-            In::Head { attempt, status, stream } => self.head(now, attempt, status, stream, balancer, out),
-            In::End { attempt, end } => self.ended(now, attempt, end, balancer, out),
+            FlowEvent::OpenFailed { attempt, reason: why } => {
+                self.on_open_failed(now, attempt, why, balancer, out)
+            }
+            FlowEvent::Lost { attempt } => self.on_main_lost(now, attempt, balancer, out),
+            FlowEvent::Rejected { attempt, lacks_weights: gone } => {
+                self.on_rejected(now, attempt, gone, balancer, out)
+            }
+            FlowEvent::Head { attempt, status, is_stream: stream } => {
+                self.on_main_head(now, attempt, status, stream, balancer, out)
+            }
+            FlowEvent::End { attempt, end } => self.on_main_end(now, attempt, end, balancer, out),
             _ => {}
         }
     }
 
-    fn chunk(
+    fn on_chunk(
         &mut self,
         now: Time,
         attempt: AttemptNo,
         raw: &Bytes,
         balancer: &mut Balancer,
-        out: &mut Vec<Out>,
+        out: &mut Vec<FlowAction>,
     ) {
         if let Some(run) = self.attempt(attempt) {
             run.boundary.add(raw);
         }
         if self.role_of(attempt) == AttemptRole::Main {
-            self.heard = now;
-            if !(self.spec.is_resumable && self.stream) {
-                return out.push(Out::Pass(raw.clone()));
+            self.heard_at = now;
+            if !(self.spec.is_resumable && self.is_stream) {
+                return out.push(FlowAction::Forward(raw.clone()));
             }
         }
         let Some(run) = self.attempt(attempt) else { return };
-        let items = run.cut.add(raw);
-        if run.cut.too_long() {
-            return self.event_too_long(now, attempt, balancer, out);
+        let items = run.splitter.push(raw);
+        if run.splitter.is_event_too_long() {
+            return self.on_event_too_long(now, attempt, balancer, out);
         }
         for item in items {
-            self.item(now, attempt, item, balancer, out);
-            if self.over || self.attempts.iter().all(|run: &RunnerAttempt| run.no != attempt) {
+            self.on_item(now, attempt, item, balancer, out);
+            if self.is_over || self.attempts.iter().all(|run: &RunnerAttempt| run.no != attempt) {
                 return;
             }
         }
     }
 
-    fn event_too_long(&mut self, now: Time, attempt: AttemptNo, balancer: &mut Balancer, out: &mut Vec<Out>) {
+    fn on_event_too_long(
+        &mut self,
+        now: Time,
+        attempt: AttemptNo,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
         match self.role_of(attempt) {
             AttemptRole::Standby => {
-                self.standby_failed(now, "an event was too long", Some(false), balancer, out)
+                self.close_standby(now, "an event was too long", Some(false), balancer, out)
             }
             AttemptRole::Main | AttemptRole::Destination => {
-                self.attempt_event(now, In::Lost { attempt }, balancer, out);
+                self.on_attempt_event(now, FlowEvent::Lost { attempt }, balancer, out);
             }
         }
     }
 
     /// One event of a run; it may change what the run is for.
-    fn item(
+    fn on_item(
         &mut self,
         now: Time,
         attempt: AttemptNo,
-        item: Item,
+        item: StreamEvent,
         balancer: &mut Balancer,
-        out: &mut Vec<Out>,
+        out: &mut Vec<FlowAction>,
     ) {
         match self.role_of(attempt) {
-            AttemptRole::Main => self.joined_item(now, attempt, item, balancer, out),
-            AttemptRole::Standby => self.standby_item(now, attempt, item, balancer, out),
-            AttemptRole::Destination => self.dest_item(now, item, balancer, out),
+            AttemptRole::Main => self.on_main_item(now, attempt, item, balancer, out),
+            AttemptRole::Standby => self.on_standby_item(now, attempt, item, balancer, out),
+            AttemptRole::Destination => self.on_destination_item(now, item, balancer, out),
         }
     }
 }
--- a/src/gate/core.rs
+++ b/src/gate/core.rs
@@ -44,7 +44,7 @@
     pub last_expected_wait: Span,
     pub counters: BTreeMap<&'static str, u64>,
     pub prompt_caches: PromptCaches,
-    pub is_plain_unreported: bool,
+    pub has_unpolled_plain_runners: bool,
 }
 
 impl Balancer {
@@ -75,7 +75,7 @@
             last_expected_wait: Span(0),
             counters: BTreeMap::new(),
             prompt_caches: PromptCaches::default(),
-            is_plain_unreported: false,
+            has_unpolled_plain_runners: false,
         }
     }
 
--- a/src/gate/nominate.rs
+++ b/src/gate/nominate.rs
@@ -76,7 +76,7 @@
     ) -> RunnerSurvey<'a> {
         let mut found = RunnerSurvey::default();
         let (model, adapter) = (Name(spec.model.to_string()), Name(spec.adapter.to_string()));
-        let bare = self.is_plain_unreported && s.service.sort == ServiceKind::Plain;
+        let bare = self.has_unpolled_plain_runners && s.service.sort == ServiceKind::Plain;
         let many_out = self.are_all_ejected(now, s);
         let unreported = RunnerReport::default();
         for r in s.runners.iter().filter(|r| !r.leaving && !avoid.contains(&r.instance)) {
@@ -139,7 +139,7 @@
 
     fn are_all_ejected(&self, now: Time, s: &ServiceSlice) -> bool {
         let rows = s.runners.iter().filter_map(|r| self.health.get(&r.instance));
-        let bare = self.is_plain_unreported && s.service.sort == ServiceKind::Plain;
+        let bare = self.has_unpolled_plain_runners && s.service.sort == ServiceKind::Plain;
         rows.filter(|h| bare || h.fresh_report(now).is_some()).all(|h| h.is_ejected(now))
     }
 }
--- a/src/gate/sweep.rs
+++ b/src/gate/sweep.rs
@@ -39,7 +39,7 @@
         for g in self.balancers() {
             let g = g.lock().unwrap();
             let Some(s) = &g.slice else { continue };
-            if !(self.is_plain_unreported && s.service.sort == ServiceKind::Plain) {
+            if !(self.has_unpolled_plain_runners && s.service.sort == ServiceKind::Plain) {
                 out.extend(s.runners.iter().cloned());
             }
         }
--- a/src/gate/table.rs
+++ b/src/gate/table.rs
@@ -15,7 +15,7 @@
 
 pub struct BalancerTable {
     pub domain: Name,
-    pub(super) is_plain_unreported: bool,
+    pub(super) has_unpolled_plain_runners: bool,
     pub freshness_limit: Span,
     balancers: RwLock<BTreeMap<Name, Arc<Mutex<Balancer>>>>,
     routes: RwLock<(Version, Time, Arc<RouteTable>)>,
@@ -39,7 +39,7 @@
     pub fn new(domain: Name, proof: Span) -> BalancerTable {
         BalancerTable {
             domain,
-            is_plain_unreported: false,
+            has_unpolled_plain_runners: false,
             freshness_limit: proof,
             balancers: RwLock::default(),
             routes: RwLock::new((Version(0), Time(0), Arc::default())),
@@ -54,8 +54,8 @@
     }
 
     /// A table of gates whose plain services have runners that don't report.
-    pub fn with_plain_unreported(domain: Name, proof: Span) -> BalancerTable {
-        BalancerTable { is_plain_unreported: true, ..BalancerTable::new(domain, proof) }
+    pub fn with_unpolled_plain_runners(domain: Name, proof: Span) -> BalancerTable {
+        BalancerTable { has_unpolled_plain_runners: true, ..BalancerTable::new(domain, proof) }
     }
 
     /// The limits on clients in the newest configuration known here.
@@ -86,7 +86,7 @@
         let new = || {
             let mut g = Balancer::new(name.clone(), self.domain.clone());
             g.load_requester = self.load_requester.lock().unwrap().clone();
-            g.is_plain_unreported = self.is_plain_unreported;
+            g.has_unpolled_plain_runners = self.has_unpolled_plain_runners;
             g.freshness_limit = self.freshness_limit;
             Arc::new(Mutex::new(g))
         };
--- a/src/http/attempt.rs
+++ b/src/http/attempt.rs
@@ -6,7 +6,7 @@
 use super::pool::Pool;
 use crate::fleet::config::RouteKind;
 use crate::fleet::runner::Runner;
-use crate::forwarding::In;
+use crate::forwarding::FlowEvent;
 use crate::forwarding::request::AttemptNo;
 use crate::gate::order::{RefusalReason, RequestSpec};
 use crate::kernel::time::Clock;
@@ -64,7 +64,7 @@
 
 /// What an attempt tells the forwarding that made it.
 pub enum AttemptEvent {
-    Step(In),
+    Step(FlowEvent),
     Head(AttemptHead),
 }
 
@@ -119,39 +119,40 @@
 /// One try at one runner, told step by step to the forwarding that asked for it.
 pub async fn run(job: Attempt) {
     let attempt = job.no;
-    let say = |ev: In| job.tx.send(AttemptEvent::Step(ev));
+    let say = |ev: FlowEvent| job.tx.send(AttemptEvent::Step(ev));
     let (exchange, sent) = match send(&job).await {
         Ok(done) => done,
-        Err(SendError::NotSent) => return drop(say(In::OpenFailed { attempt, why: None }).await),
+        Err(SendError::NotSent) => return drop(say(FlowEvent::OpenFailed { attempt, reason: None }).await),
         Err(SendError::Barred) => {
             let why = (job.why)().or(Some(RefusalReason::StaleConfiguration));
-            return drop(say(In::OpenFailed { attempt, why }).await);
+            return drop(say(FlowEvent::OpenFailed { attempt, reason: why }).await);
         }
-        Err(SendError::Unsure) => return drop(say(In::Lost { attempt }).await),
+        Err(SendError::Unsure) => return drop(say(FlowEvent::Lost { attempt }).await),
     };
     let load = job.side.load(exchange.headers());
     let judged = exchange.judge(|status, headers| job.side.classify_response(&sent, status, headers));
     if let (Some(load), false) = (load, matches!(judged, Judged::Stray)) {
-        let _ = say(In::Load { attempt, load }).await;
+        let _ = say(FlowEvent::Load { attempt, load }).await;
     }
     match judged {
         Judged::Own(answer) => pass_on(&job, answer).await,
         Judged::NotRun(answer) => turned_away(&job, answer, false).await,
         Judged::NotMine(answer) => turned_away(&job, answer, true).await,
-        Judged::Stray => drop(say(In::Lost { attempt }).await),
+        Judged::Stray => drop(say(FlowEvent::Lost { attempt }).await),
     }
 }
 
 async fn turned_away(job: &Attempt, answer: Answer, gone: bool) {
     job.pool.drain(job.runner.addr, answer).await;
-    let _ = job.tx.send(AttemptEvent::Step(In::Shed { attempt: job.no, gone })).await;
+    let _ =
+        job.tx.send(AttemptEvent::Step(FlowEvent::Rejected { attempt: job.no, lacks_weights: gone })).await;
 }
 
 /// Hands the runner's answer on. One to a request that may run again is read as a whole first, so that another
 /// runner can still give it.
 async fn pass_on(job: &Attempt, mut answer: Answer) {
     let attempt = job.no;
-    let say = |ev: In| job.tx.send(AttemptEvent::Step(ev));
+    let say = |ev: FlowEvent| job.tx.send(AttemptEvent::Step(ev));
     let status = answer.status();
     let heads = end_to_end(answer.headers());
     let kind = heads.get("content-type").and_then(|v| v.to_str().ok()).unwrap_or("");
@@ -161,30 +162,30 @@
     if job.order.route_kind == RouteKind::Idempotent && !stream {
         match answer.collect(WHOLE_LIMIT).await {
             Ok(body) => whole = Some(body),
-            Err(BodyBroken) => return drop(say(In::Lost { attempt }).await),
+            Err(BodyBroken) => return drop(say(FlowEvent::Lost { attempt }).await),
         }
     }
     if job.tx.send(AttemptEvent::Head((attempt, status, heads))).await.is_err()
-        || say(In::Head { attempt, status, stream }).await.is_err()
+        || say(FlowEvent::Head { attempt, status, is_stream: stream }).await.is_err()
     {
         return;
     }
     if let Some(raw) = whole {
         job.pool.keep(job.runner.addr, answer);
-        let _ = say(In::Chunk { attempt, raw }).await;
-        return drop(say(In::End { attempt, end }).await);
+        let _ = say(FlowEvent::Chunk { attempt, raw }).await;
+        return drop(say(FlowEvent::End { attempt, end }).await);
     }
     loop {
         match answer.next().await {
             Ok(Some(raw)) => {
-                if say(In::Chunk { attempt, raw }).await.is_err() {
+                if say(FlowEvent::Chunk { attempt, raw }).await.is_err() {
                     return;
                 }
             }
             Ok(None) => break,
-            Err(BodyBroken) => return drop(say(In::Lost { attempt }).await),
+            Err(BodyBroken) => return drop(say(FlowEvent::Lost { attempt }).await),
         }
     }
     job.pool.keep(job.runner.addr, answer);
-    let _ = say(In::End { attempt, end }).await;
+    let _ = say(FlowEvent::End { attempt, end }).await;
 }
--- a/src/http/forward.rs
+++ b/src/http/forward.rs
@@ -5,7 +5,7 @@
 use super::body::{BodyWriter, streamed};
 use super::pool::Pool;
 use crate::forwarding::request::AttemptNo;
-use crate::forwarding::{In, Out, RequestFlow};
+use crate::forwarding::{FlowAction, FlowEvent, RequestFlow};
 use crate::gate::{Balancer, RequestSpec, RoutingDecision};
 use crate::kernel::time::Clock;
 use crate::protocol::{CallerProtocol, Protocols, RunnerProtocol};
@@ -81,10 +81,10 @@
     };
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    c.step(In::Go).await;
-    while !c.request.over {
+    c.step(FlowEvent::Start).await;
+    while !c.request.is_over {
         let ev = tokio::select! {
-            Some(plan) = wakes.recv() => In::Woken(plan),
+            Some(plan) = wakes.recv() => FlowEvent::Routed(plan),
             Some(ev) = rx.recv() => match ev {
                 AttemptEvent::Step(ev) => ev,
                 AttemptEvent::Head((attempt, status, heads)) => {
@@ -92,14 +92,14 @@
                     continue;
                 }
             },
-            _ = gone(&mut c.first, &c.body) => In::Gone,
-            _ = tick.tick() => In::Tick,
+            _ = gone(&mut c.first, &c.body) => FlowEvent::ClientGone,
+            _ = tick.tick() => FlowEvent::Tick,
         };
         c.step(ev).await;
     }
     wakes.close();
     while let Ok(plan) = wakes.try_recv() {
-        c.step(In::Woken(plan)).await;
+        c.step(FlowEvent::Routed(plan)).await;
     }
 }
 
@@ -112,7 +112,7 @@
 }
 
 impl Forwarder {
-    async fn step(&mut self, ev: In) {
+    async fn step(&mut self, ev: FlowEvent) {
         let now = self.clock.now();
         let outs = self.request.step(now, ev, &mut self.balancer.lock().unwrap());
         for out in outs {
@@ -122,36 +122,36 @@
         }
     }
 
-    async fn act(&mut self, out: Out) -> Acted {
+    async fn act(&mut self, out: FlowAction) -> Acted {
         match out {
-            Out::Wait { avoid } => {
+            FlowAction::Wait { avoid } => {
                 let woken = self.woken.clone();
                 let wake = Box::new(move |plan: RoutingDecision| woken.send(plan).map_err(|back| back.0));
                 let now = self.clock.now();
                 self.balancer.lock().unwrap().wait(now, self.request.spec.clone(), avoid, wake);
             }
-            Out::Open { attempt, runner, last } => self.open(attempt, runner, last),
-            Out::Close { attempt } => {
+            FlowAction::Open { attempt, runner, last_event_id: last } => self.open(attempt, runner, last),
+            FlowAction::Close { attempt } => {
                 if let Some(h) = self.attempts.remove(&attempt) {
                     h.abort();
                 }
             }
-            Out::Head { attempt } => self.head(attempt),
-            Out::Pass(raw) => return self.pass(raw).await,
-            Out::Finish => {
+            FlowAction::Head { attempt } => self.head(attempt),
+            FlowAction::Forward(raw) => return self.pass(raw).await,
+            FlowAction::Finish => {
                 if let Some(body) = self.body.take() {
                     body.finish();
                 }
             }
-            Out::Break(why) => {
+            FlowAction::Abort(why) => {
                 log::info!(event = "answer-broken-off", service = self.request.spec.service.to_string(), why = why; "");
                 self.body = None;
             }
-            Out::Refuse(r) => self.answer(refused(&*self.caller, &r)),
-            Out::Unknown(status, text) => {
+            FlowAction::Refuse(r) => self.answer(refused(&*self.caller, &r)),
+            FlowAction::OutcomeUnknown(status, text) => {
                 self.answer(own(status, "outcome-unknown", text, 0, "unknown"));
             }
-            Out::Told(what, text) => {
+            FlowAction::Log(what, text) => {
                 log::info!(event = what, service = self.request.spec.service.to_string(), note = text; "");
             }
         }
@@ -193,7 +193,7 @@
         let mut response = Response::new(body.boxed_unsync());
         *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
         *response.headers_mut() = heads;
-        if self.request.stream {
+        if self.request.is_stream {
             response.headers_mut().remove("content-length");
         }
         self.body = Some(writer);
@@ -214,7 +214,7 @@
     fn client_gone(&mut self) {
         self.body = None;
         let now = self.clock.now();
-        self.request.step(now, In::Gone, &mut self.balancer.lock().unwrap());
+        self.request.step(now, FlowEvent::ClientGone, &mut self.balancer.lock().unwrap());
         for attempt in std::mem::take(&mut self.attempts).into_values() {
             attempt.abort();
         }
@@ -224,10 +224,10 @@
 impl Drop for Forwarder {
     /// A forwarding that ends before its request does leaves no waiter, slot or run behind.
     fn drop(&mut self) {
-        if !self.request.over
+        if !self.request.is_over
             && let Ok(mut balancer) = self.balancer.lock()
         {
-            self.request.step(self.clock.now(), In::Gone, &mut balancer);
+            self.request.step(self.clock.now(), FlowEvent::ClientGone, &mut balancer);
         }
         for h in self.attempts.values() {
             h.abort();
--- a/src/sim/callers.rs
+++ b/src/sim/callers.rs
@@ -1,7 +1,7 @@
 use super::quota::key_of;
 use super::record::Fact;
 use super::world::{Event, World};
-use crate::forwarding::{AnswerEnd, In};
+use crate::forwarding::{AnswerEnd, FlowEvent};
 use crate::kernel::ids::*;
 use crate::kernel::rand::{Rand, mix};
 use crate::kernel::time::{Span, Time};
@@ -121,7 +121,7 @@
         let token = x.token;
         let Some(row) = x.runs.get_mut(&run) else { return };
         let (place, rl, request, attempt) = (row.place, row.life, row.request, row.attempt);
-        let head = Box::new(In::Head { attempt, status: 200, stream: row.script.is_some() });
+        let head = Box::new(FlowEvent::Head { attempt, status: 200, is_stream: row.script.is_some() });
         let n = row.next;
         let first = n == 1 || !row.model.0.is_empty();
         let raw = match &row.script {
@@ -145,14 +145,14 @@
             .requests
             .rows
             .get(&request)
-            .is_some_and(|r| r.request.attempts.iter().any(|l| l.no == attempt && !l.head));
+            .is_some_and(|r| r.request.attempts.iter().any(|l| l.no == attempt && !l.has_head));
         if fresh && unseen {
             self.later(wait, Event::RequestFlow { place, life: rl, request, ev: head });
         }
-        let ev = Box::new(In::Chunk { attempt, raw: bytes::Bytes::from(raw) });
+        let ev = Box::new(FlowEvent::Chunk { attempt, raw: bytes::Bytes::from(raw) });
         self.later(wait + Span(1), Event::RequestFlow { place, life: rl, request, ev });
         if last {
-            let ev = Box::new(In::End { attempt, end: AnswerEnd::Framed });
+            let ev = Box::new(FlowEvent::End { attempt, end: AnswerEnd::Framed });
             self.later(wait + Span(2), Event::RequestFlow { place, life: rl, request, ev });
             self.end_run(k, run, true);
         } else {
@@ -190,7 +190,7 @@
     pub fn tick_requests(&mut self, place: usize, life: u64) {
         let ids: Vec<u64> = self.requests.rows.iter().filter(|r| r.1.place == place).map(|r| *r.0).collect();
         for id in ids {
-            self.request(place, life, id, In::Tick);
+            self.request(place, life, id, FlowEvent::Tick);
         }
     }
 }
--- a/src/sim/check_leaks.rs
+++ b/src/sim/check_leaks.rs
@@ -28,7 +28,7 @@
         for request in requests.map(|r| &r.request) {
             share.waiters += u64::from(request.is_waiting());
             share.slots += request.attempts.len() as u64;
-            share.credit += request.reserved;
+            share.credit += request.reserved_attempts;
         }
         share
     }
--- a/src/sim/front.rs
+++ b/src/sim/front.rs
@@ -1,7 +1,7 @@
 use super::record::Fact;
 use super::world::{Event, Woken, World};
 use crate::fleet::tenants::KeyDigest;
-use crate::forwarding::{In, Out, RequestFlow};
+use crate::forwarding::{FlowAction, FlowEvent, RequestFlow};
 use crate::gate::admission::admit;
 use crate::gate::order::RefusalReason;
 use crate::gate::{Balancer, Refusal, RequestSpec, RoutingDecision};
@@ -91,7 +91,7 @@
         self.take_token(id, request);
     }
 
-    pub fn request(&mut self, place: usize, life: u64, id: u64, ev: In) {
+    pub fn request(&mut self, place: usize, life: u64, id: u64, ev: FlowEvent) {
         if !self.fits(place, life) {
             return;
         }
@@ -108,7 +108,7 @@
     pub fn deliver_plan(&mut self, woken: Woken) {
         let (place, life) = (woken.place, woken.life);
         if self.requests.rows.contains_key(&woken.request) {
-            return self.request(place, life, woken.request, In::Woken(woken.plan));
+            return self.request(place, life, woken.request, FlowEvent::Routed(woken.plan));
         }
         if let RoutingDecision::Send(runner) = woken.plan
             && self.fits(place, life)
@@ -118,12 +118,12 @@
         }
     }
 
-    fn request_out(&mut self, place: usize, life: u64, id: u64, out: Out) {
+    fn request_out(&mut self, place: usize, life: u64, id: u64, out: FlowAction) {
         let now = self.local(place);
         let world_now = self.now;
         let Some(r) = self.requests.rows.get_mut(&id) else { return };
         match out {
-            Out::Wait { avoid } => {
+            FlowAction::Wait { avoid } => {
                 let (woken, order, balancer) =
                     (self.woken.clone(), r.request.spec.clone(), r.balancer.clone());
                 let (model, waits_at) = (order.model.to_string(), balancer.clone());
@@ -134,18 +134,18 @@
                 });
                 balancer.lock().unwrap().wait(now, order, avoid, wake);
             }
-            Out::Open { attempt, runner, last } => {
+            FlowAction::Open { attempt, runner, last_event_id: last } => {
                 r.attempts.insert(attempt, (runner, None));
                 let wait = self.delay() + self.plus(self.slow_open);
                 self.later(wait, Event::Send { place, life, request: id, attempt, last });
             }
-            Out::Close { attempt } => {
+            FlowAction::Close { attempt } => {
                 if let Some((_, Some((k, run)))) = r.attempts.remove(&attempt) {
                     self.end_run(k, run, false);
                 }
             }
-            Out::Head { .. } => {}
-            Out::Pass(raw) => {
+            FlowAction::Head { .. } => {}
+            FlowAction::Forward(raw) => {
                 let gap = world_now.since(r.gap.0);
                 if !r.text.is_empty() {
                     r.gap.1 = r.gap.1.max(gap);
@@ -153,11 +153,11 @@
                 r.gap.0 = world_now;
                 r.text.push_str(&String::from_utf8_lossy(&raw));
             }
-            Out::Finish => self.end_request(id, End::Whole, ""),
-            Out::Break(_) => self.end_request(id, End::Broken, "broken"),
-            Out::Refuse(why) => self.end_request(id, End::Refused, why.code()),
-            Out::Unknown(..) => self.end_request(id, End::Unknown, "unknown"),
-            Out::Told(what, text) => self.note(Fact::Told { what, text }),
+            FlowAction::Finish => self.end_request(id, End::Whole, ""),
+            FlowAction::Abort(_) => self.end_request(id, End::Broken, "broken"),
+            FlowAction::Refuse(why) => self.end_request(id, End::Refused, why.code()),
+            FlowAction::OutcomeUnknown(..) => self.end_request(id, End::Unknown, "unknown"),
+            FlowAction::Log(what, text) => self.note(Fact::Told { what, text }),
         }
     }
 
@@ -201,20 +201,20 @@
         let name = card.instance.clone();
         let barred = r.balancer.lock().unwrap().check_before_send(now, &r.request.spec, &name).err();
         if let Some(why) = barred {
-            return self.request(place, life, id, In::OpenFailed { attempt, why: Some(why) });
+            return self.request(place, life, id, FlowEvent::OpenFailed { attempt, reason: Some(why) });
         }
         let call = r.call;
         self.note(Fact::Tried { call });
         let up = self.runner_at(&name).filter(|k| self.runners[*k].alive);
         let Some(k) = up else {
-            let ev = Box::new(In::OpenFailed { attempt, why: None });
+            let ev = Box::new(FlowEvent::OpenFailed { attempt, reason: None });
             return self.later(Span::ms(1), Event::RequestFlow { place, life, request: id, ev });
         };
         if !self.begin_run(k, place, life, id, attempt, last) {
             if let Some(r) = self.requests.rows.get(&id) {
                 r.balancer.lock().unwrap().on_missing_weights(now, &name, &r.request.spec);
             }
-            let ev = Box::new(In::OpenFailed { attempt, why: None::<RefusalReason> });
+            let ev = Box::new(FlowEvent::OpenFailed { attempt, reason: None::<RefusalReason> });
             self.later(Span::ms(1), Event::RequestFlow { place, life, request: id, ev });
         }
     }
--- a/src/sim/quota.rs
+++ b/src/sim/quota.rs
@@ -5,7 +5,7 @@
 use super::record::Fact;
 use super::world::World;
 use crate::constraints::shares::{QuotaDecision, QuotaDemand};
-use crate::forwarding::In;
+use crate::forwarding::FlowEvent;
 use crate::http::quota::outcome;
 use crate::kernel::ids::Name;
 use crate::kernel::rand::mix;
@@ -133,6 +133,6 @@
     fn enter_gate(&mut self, id: u64, request: SimRequest) {
         let (place, life) = (request.place, request.life);
         self.requests.rows.insert(id, request);
-        self.request(place, life, id, In::Go);
+        self.request(place, life, id, FlowEvent::Start);
     }
 }
--- a/src/sim/runners.rs
+++ b/src/sim/runners.rs
@@ -119,7 +119,7 @@
         for (id, run) in rows {
             self.end_run(k, id, false);
             let wait = self.delay();
-            let ev = Box::new(crate::forwarding::In::Lost { attempt: run.attempt });
+            let ev = Box::new(crate::forwarding::FlowEvent::Lost { attempt: run.attempt });
             self.later(
                 wait,
                 Event::RequestFlow { place: run.place, life: run.life, request: run.request, ev },
@@ -136,7 +136,7 @@
         for run in runs {
             self.note(Fact::RunEnded { call: run.call, whole: false });
             let wait = self.delay();
-            let ev = Box::new(crate::forwarding::In::Lost { attempt: run.attempt });
+            let ev = Box::new(crate::forwarding::FlowEvent::Lost { attempt: run.attempt });
             self.later(
                 wait,
                 Event::RequestFlow { place: run.place, life: run.life, request: run.request, ev },
--- a/src/sim/world.rs
+++ b/src/sim/world.rs
@@ -4,7 +4,7 @@
 use super::record::{Fact, Record};
 use super::runners::SimRunner;
 use crate::fleet::holdings::UnmetDemand;
-use crate::forwarding::In;
+use crate::forwarding::FlowEvent;
 use crate::gate::{Balancer, RoutingDecision};
 use crate::kernel::ids::*;
 use crate::kernel::rand::{Rand, SeededRandom};
@@ -72,7 +72,7 @@
         place: usize,
         life: u64,
         request: u64,
-        ev: Box<In>,
+        ev: Box<FlowEvent>,
     },
     Send {
         place: usize,
--- a/src/transfer/continuation.rs
+++ b/src/transfer/continuation.rs
@@ -1,7 +1,7 @@
 //! How two runs of one request relate, and whether an event of one may follow the events of the other.
 #![deny(missing_docs)]
 
-use super::event_buffer::Item;
+use super::event_buffer::StreamEvent;
 
 /// What runners promise of two runs of the same request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
@@ -15,7 +15,7 @@
 
 impl RunContract {
     /// Whether two events of different runs stand at the same place of the stream.
-    pub fn same_place(self, one: &Item, other: &Item) -> bool {
+    pub fn is_same_place(self, one: &StreamEvent, other: &StreamEvent) -> bool {
         match self {
             RunContract::SameEvents => one == other,
             RunContract::SameIds => one.id == other.id,
@@ -23,7 +23,7 @@
     }
 
     /// Whether an event has a place that other runs have too; comments and the like have none.
-    pub fn is_placed(self, item: &Item) -> bool {
+    pub fn has_place(self, item: &StreamEvent) -> bool {
         self == RunContract::SameEvents || item.id.is_some()
     }
 }
--- a/src/transfer/event_boundary.rs
+++ b/src/transfer/event_boundary.rs
@@ -4,14 +4,14 @@
 /// Follows a stream byte by byte and keeps none of it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct EventBoundary {
-    line_is_empty: bool,
-    within_event: bool,
+    is_line_empty: bool,
+    is_within_event: bool,
     events: u64,
 }
 
 impl Default for EventBoundary {
     fn default() -> EventBoundary {
-        EventBoundary { line_is_empty: true, within_event: false, events: 0 }
+        EventBoundary { is_line_empty: true, is_within_event: false, events: 0 }
     }
 }
 
@@ -23,8 +23,8 @@
                 b'\n' => self.end_line(),
                 b'\r' => {}
                 _ => {
-                    self.line_is_empty = false;
-                    self.within_event = true;
+                    self.is_line_empty = false;
+                    self.is_within_event = true;
                 }
             }
         }
@@ -32,14 +32,14 @@
 
     /// Whether the stream has had an event and stands behind a whole one: an honest end may be here.
     pub fn may_end(&self) -> bool {
-        self.events > 0 && !self.within_event
+        self.events > 0 && !self.is_within_event
     }
 
     fn end_line(&mut self) {
-        if self.line_is_empty && self.within_event {
-            self.within_event = false;
+        if self.is_line_empty && self.is_within_event {
+            self.is_within_event = false;
             self.events += 1;
         }
-        self.line_is_empty = true;
+        self.is_line_empty = true;
     }
 }
--- a/src/transfer/event_buffer.rs
+++ b/src/transfer/event_buffer.rs
@@ -1,23 +1,23 @@
 use bytes::{Bytes, BytesMut};
 
 #[derive(Clone, PartialEq, Debug)]
-pub struct Item {
+pub struct StreamEvent {
     pub id: Option<String>,
     pub raw: Bytes,
 }
 
-impl Item {
+impl StreamEvent {
     /// Whether it brings the client something, as a comment does not.
     pub fn has_data(&self) -> bool {
         self.raw.split(|b| *b == b'\n').any(|line| line.starts_with(b"data"))
     }
 
     /// How another event of the same place differs, without any of the caller's content: for the log.
-    pub fn difference(&self, other: &Item) -> String {
-        let name = |item: &Item| item.id.clone().unwrap_or_else(|| "none".into());
+    pub fn difference(&self, other: &StreamEvent) -> String {
+        let name = |item: &StreamEvent| item.id.clone().unwrap_or_else(|| "none".into());
         let (mine, theirs) = (&self.raw, &other.raw);
         let at = mine.iter().zip(theirs.iter()).take_while(|(a, b)| a == b).count();
-        let fields = |item: &Item| field_names(&item.raw).join("+");
+        let fields = |item: &StreamEvent| field_names(&item.raw).join("+");
         format!(
             "id={}/{} bytes={}/{} first_difference={at} fields={}/{}",
             name(self),
@@ -41,29 +41,29 @@
 const FIELD_NAME_MAX: usize = 24;
 
 #[derive(Default)]
-pub struct Splitter {
-    rest: BytesMut,
+pub struct EventSplitter {
+    buffered: BytesMut,
 }
 
-pub const ITEM_MAX: usize = 1 << 20;
+pub const EVENT_MAX: usize = 1 << 20;
 
-impl Splitter {
-    pub fn add(&mut self, chunk: &[u8]) -> Vec<Item> {
-        self.rest.extend_from_slice(chunk);
+impl EventSplitter {
+    pub fn push(&mut self, chunk: &[u8]) -> Vec<StreamEvent> {
+        self.buffered.extend_from_slice(chunk);
         let mut out = Vec::new();
-        while let Some(end) = gap(&self.rest) {
-            let raw = self.rest.split_to(end).freeze();
-            out.push(Item { id: id_of(&raw), raw });
+        while let Some(end) = gap(&self.buffered) {
+            let raw = self.buffered.split_to(end).freeze();
+            out.push(StreamEvent { id: id_of(&raw), raw });
         }
         out
     }
 
-    pub fn too_long(&self) -> bool {
-        self.rest.len() > ITEM_MAX
+    pub fn is_event_too_long(&self) -> bool {
+        self.buffered.len() > EVENT_MAX
     }
 
-    pub fn rest(&mut self) -> Bytes {
-        self.rest.split().freeze()
+    pub fn take_rest(&mut self) -> Bytes {
+        self.buffered.split().freeze()
     }
 }
 
--- a/src/transfer/handover.rs
+++ b/src/transfer/handover.rs
@@ -1,21 +1,21 @@
 use super::continuation::RunContract;
-use super::event_buffer::Item;
+use super::event_buffer::StreamEvent;
 use crate::fleet::config::Moving;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use std::collections::VecDeque;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Step {
+pub enum HandoverStage {
     Warm,
     Cut,
 }
 
 #[derive(PartialEq, Debug)]
-pub enum Out {
-    Pass(Item),
-    Open { last: Option<String>, cut: bool },
-    CloseDest,
+pub enum HandoverAction {
+    Forward(StreamEvent),
+    Open { last_event_id: Option<String>, is_cut: bool },
+    CloseDestination,
     Switch,
     Abort(&'static str),
     Abandon,
@@ -24,19 +24,19 @@
 pub struct Handover {
     pub id: MoveId,
     pub to: Name,
-    pub step: Step,
+    pub stage: HandoverStage,
     pub round: u64,
     pub rounds_ms: Vec<u64>,
     pub gaps: Vec<u64>,
-    plan: Moving,
+    limits: Moving,
     contract: RunContract,
-    buffered: VecDeque<Item>,
-    heard: VecDeque<Item>,
-    alike: u64,
-    held: VecDeque<Item>,
-    since: Time,
-    pub began: Time,
-    pub more: bool,
+    from_source: VecDeque<StreamEvent>,
+    from_destination: VecDeque<StreamEvent>,
+    matched: u64,
+    held_back: VecDeque<StreamEvent>,
+    round_began_at: Time,
+    pub began_at: Time,
+    pub has_credit: bool,
 }
 
 impl Handover {
@@ -46,143 +46,150 @@
         (plan, contract): (Moving, RunContract),
         now: Time,
         last: Option<String>,
-    ) -> (Handover, Vec<Out>) {
+    ) -> (Handover, Vec<HandoverAction>) {
         let h = Handover {
             id,
             to,
-            step: Step::Warm,
+            stage: HandoverStage::Warm,
             round: 1,
             rounds_ms: Vec::new(),
             gaps: Vec::new(),
-            plan,
+            limits: plan,
             contract,
-            buffered: VecDeque::new(),
-            heard: VecDeque::new(),
-            alike: 0,
-            held: VecDeque::new(),
-            since: now,
-            began: now,
-            more: true,
+            from_source: VecDeque::new(),
+            from_destination: VecDeque::new(),
+            matched: 0,
+            held_back: VecDeque::new(),
+            round_began_at: now,
+            began_at: now,
+            has_credit: true,
         };
-        (h, vec![Out::Open { last, cut: false }])
+        (h, vec![HandoverAction::Open { last_event_id: last, is_cut: false }])
     }
 
     /// An event of the source. One without a place is passed on as it comes.
-    pub fn source(&mut self, now: Time, item: Item) -> Vec<Out> {
-        if !self.contract.is_placed(&item) {
-            return vec![Out::Pass(item)];
+    pub fn on_source_event(&mut self, now: Time, item: StreamEvent) -> Vec<HandoverAction> {
+        if !self.contract.has_place(&item) {
+            return vec![HandoverAction::Forward(item)];
         }
-        match self.step {
-            Step::Warm => {
-                self.buffered.push_back(item.clone());
-                let mut out = vec![Out::Pass(item)];
-                out.extend(self.judge(now));
+        match self.stage {
+            HandoverStage::Warm => {
+                self.from_source.push_back(item.clone());
+                let mut out = vec![HandoverAction::Forward(item)];
+                out.extend(self.compare(now));
                 out
             }
-            Step::Cut => {
-                self.held.push_back(item);
-                self.judge(now)
+            HandoverStage::Cut => {
+                self.held_back.push_back(item);
+                self.compare(now)
             }
         }
     }
 
     /// An event of the destination; only those with a place count before the cut.
-    pub fn dest(&mut self, now: Time, item: Item) -> Vec<Out> {
-        if !self.contract.is_placed(&item) {
+    pub fn on_destination_event(&mut self, now: Time, item: StreamEvent) -> Vec<HandoverAction> {
+        if !self.contract.has_place(&item) {
             return vec![];
         }
-        self.heard.push_back(item);
-        self.judge(now)
+        self.from_destination.push_back(item);
+        self.compare(now)
     }
 
-    fn judge(&mut self, now: Time) -> Vec<Out> {
-        match self.step {
-            Step::Warm => self.judge_warm(now),
-            Step::Cut => self.judge_cut(),
+    fn compare(&mut self, now: Time) -> Vec<HandoverAction> {
+        match self.stage {
+            HandoverStage::Warm => self.compare_warm(now),
+            HandoverStage::Cut => self.compare_cut(),
         }
     }
 
-    fn judge_warm(&mut self, now: Time) -> Vec<Out> {
-        while let (Some(a), Some(b)) = (self.buffered.get(self.alike as usize), self.heard.front()) {
-            if !self.contract.same_place(a, b) {
-                return self.stop("the destination's event differs from the source's of the same place");
+    fn compare_warm(&mut self, now: Time) -> Vec<HandoverAction> {
+        while let (Some(a), Some(b)) =
+            (self.from_source.get(self.matched as usize), self.from_destination.front())
+        {
+            if !self.contract.is_same_place(a, b) {
+                return self.abort("the destination's event differs from the source's of the same place");
             }
-            self.alike += 1;
-            self.heard.pop_front();
+            self.matched += 1;
+            self.from_destination.pop_front();
         }
-        if self.alike == 0 {
+        if self.matched == 0 {
             return vec![];
         }
-        let gap = self.buffered.len() as u64 - self.alike;
+        let gap = self.from_source.len() as u64 - self.matched;
         self.gaps.push(gap);
-        self.rounds_ms.push(now.since(self.since).as_ms());
-        self.since = now;
-        self.heard.clear();
-        let last = self.buffered.back().and_then(|i| i.id.clone());
-        self.buffered.clear();
-        self.alike = 0;
-        if gap <= self.plan.gap || self.round >= self.plan.rounds || !self.more {
-            self.step = Step::Cut;
+        self.rounds_ms.push(now.since(self.round_began_at).as_ms());
+        self.round_began_at = now;
+        self.from_destination.clear();
+        let last = self.from_source.back().and_then(|i| i.id.clone());
+        self.from_source.clear();
+        self.matched = 0;
+        if gap <= self.limits.gap || self.round >= self.limits.rounds || !self.has_credit {
+            self.stage = HandoverStage::Cut;
         }
         self.round += 1;
-        vec![Out::CloseDest, Out::Open { last, cut: self.step == Step::Cut }]
+        vec![
+            HandoverAction::CloseDestination,
+            HandoverAction::Open { last_event_id: last, is_cut: self.stage == HandoverStage::Cut },
+        ]
     }
 
-    fn judge_cut(&mut self) -> Vec<Out> {
-        let (Some(a), Some(b)) = (self.held.front(), self.heard.front()) else { return vec![] };
-        if !self.contract.same_place(a, b) {
-            return self.stop("the destination's first event differs from the source's");
+    fn compare_cut(&mut self) -> Vec<HandoverAction> {
+        let (Some(a), Some(b)) = (self.held_back.front(), self.from_destination.front()) else {
+            return vec![];
+        };
+        if !self.contract.is_same_place(a, b) {
+            return self.abort("the destination's first event differs from the source's");
         }
-        let mut out = vec![Out::Switch];
-        out.extend(self.heard.drain(..).map(Out::Pass));
-        self.held.clear();
+        let mut out = vec![HandoverAction::Switch];
+        out.extend(self.from_destination.drain(..).map(HandoverAction::Forward));
+        self.held_back.clear();
         out
     }
 
-    fn flush(&mut self) -> Vec<Out> {
-        self.held.drain(..).map(Out::Pass).collect()
+    fn release_held_back(&mut self) -> Vec<HandoverAction> {
+        self.held_back.drain(..).map(HandoverAction::Forward).collect()
     }
 
-    fn stop(&mut self, why: &'static str) -> Vec<Out> {
-        let mut out = vec![Out::CloseDest];
-        out.extend(self.flush());
-        out.push(Out::Abort(why));
+    fn abort(&mut self, why: &'static str) -> Vec<HandoverAction> {
+        let mut out = vec![HandoverAction::CloseDestination];
+        out.extend(self.release_held_back());
+        out.push(HandoverAction::Abort(why));
         out
     }
 
-    pub fn source_end(&mut self) -> Vec<Out> {
-        let mut out = vec![Out::CloseDest];
-        out.extend(self.flush());
-        out.push(Out::Abandon);
+    pub fn on_source_end(&mut self) -> Vec<HandoverAction> {
+        let mut out = vec![HandoverAction::CloseDestination];
+        out.extend(self.release_held_back());
+        out.push(HandoverAction::Abandon);
         out
     }
 
-    pub fn source_failed(&mut self) -> Vec<Out> {
-        let mut out = vec![Out::CloseDest];
-        out.extend(self.flush());
-        out.push(Out::Abort("the source failed"));
+    pub fn on_source_failed(&mut self) -> Vec<HandoverAction> {
+        let mut out = vec![HandoverAction::CloseDestination];
+        out.extend(self.release_held_back());
+        out.push(HandoverAction::Abort("the source failed"));
         out
     }
 
-    pub fn dest_failed(&mut self, why: &'static str) -> Vec<Out> {
-        self.stop(why)
+    pub fn on_destination_failed(&mut self, why: &'static str) -> Vec<HandoverAction> {
+        self.abort(why)
     }
 
-    pub fn dest_end(&mut self) -> Vec<Out> {
-        if self.heard.is_empty() {
-            return self.stop("the destination ended before its first event");
+    pub fn on_destination_end(&mut self) -> Vec<HandoverAction> {
+        if self.from_destination.is_empty() {
+            return self.abort("the destination ended before its first event");
         }
         vec![]
     }
 
-    pub fn withdrawn(&mut self) -> Vec<Out> {
-        self.stop("the plan was withdrawn")
+    pub fn on_plan_withdrawn(&mut self) -> Vec<HandoverAction> {
+        self.abort("the plan was withdrawn")
     }
 
-    pub fn tick(&mut self, now: Time) -> Vec<Out> {
-        let most = if self.step == Step::Cut { self.plan.cut_ms } else { self.plan.round_ms };
-        if now.since(self.since) > Span::ms(most) {
-            return self.stop("a round took longer than its allowance");
+    pub fn tick(&mut self, now: Time) -> Vec<HandoverAction> {
+        let most = if self.stage == HandoverStage::Cut { self.limits.cut_ms } else { self.limits.round_ms };
+        if now.since(self.round_began_at) > Span::ms(most) {
+            return self.abort("a round took longer than its allowance");
         }
         vec![]
     }
--- a/tests/common/forwarding.rs
+++ b/tests/common/forwarding.rs
@@ -8,7 +8,7 @@
 use spindledock::fleet::runner::{Runner, RunnerReport};
 use spindledock::fleet::slice::service_slice;
 use spindledock::fleet::state::{MovePlan, Phase};
-use spindledock::forwarding::{In, Out, RequestFlow};
+use spindledock::forwarding::{FlowAction, FlowEvent, RequestFlow};
 use spindledock::gate::{Balancer, RequestSpec};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::{Span, Time};
@@ -75,18 +75,22 @@
     Bytes::from(format!("id: {n}\ndata: w{n}\n\n"))
 }
 
-pub fn text(outs: &[Out]) -> String {
-    let part = |o: &Out| {
-        if let Out::Pass(raw) = o { String::from_utf8_lossy(raw).into_owned() } else { String::new() }
+pub fn text(outs: &[FlowAction]) -> String {
+    let part = |o: &FlowAction| {
+        if let FlowAction::Forward(raw) = o {
+            String::from_utf8_lossy(raw).into_owned()
+        } else {
+            String::new()
+        }
     };
     outs.iter().map(part).collect()
 }
 
 pub fn streaming(r: &mut RequestFlow, g: &mut Balancer, upto: u64) -> String {
-    let outs = r.step(NOW, In::Go, g);
-    assert!(matches!(outs[..], [Out::Open { attempt: 1, .. }]), "{outs:?}");
-    r.step(NOW, In::Head { attempt: 1, status: 200, stream: true }, g);
-    (1..=upto).map(|n| text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(n) }, g))).collect()
+    let outs = r.step(NOW, FlowEvent::Start, g);
+    assert!(matches!(outs[..], [FlowAction::Open { attempt: 1, .. }]), "{outs:?}");
+    r.step(NOW, FlowEvent::Head { attempt: 1, status: 200, is_stream: true }, g);
+    (1..=upto).map(|n| text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(n) }, g))).collect()
 }
 
 pub fn moving(g: &mut Balancer, from: &str, to: &str) {
@@ -111,12 +115,13 @@
     let passed = streaming(&mut r, &mut g, upto);
     let from = r.runner_of(1).expect("a attempt").0;
     moving(&mut g, &from, if from == "a1" { "a2" } else { "a1" });
-    let outs = r.step(NOW, In::Tick, &mut g);
+    let outs = r.step(NOW, FlowEvent::Tick, &mut g);
     let last = upto.to_string();
     assert!(
-        outs.iter().any(|o| matches!(o, Out::Open { attempt: 2, last: Some(l), .. } if *l == last)),
+        outs.iter()
+            .any(|o| matches!(o, FlowAction::Open { attempt: 2, last_event_id: Some(l), .. } if *l == last)),
         "{outs:?}"
     );
-    r.step(NOW, In::Head { attempt: 2, status: 200, stream: true }, &mut g);
+    r.step(NOW, FlowEvent::Head { attempt: 2, status: 200, is_stream: true }, &mut g);
     (g, r, passed)
 }
--- a/tests/common/silent.rs
+++ b/tests/common/silent.rs
@@ -5,7 +5,7 @@
 use super::given::{NOW, balancer, event, report, request, text};
 use bytes::Bytes;
 use spindledock::fleet::config::RouteKind;
-use spindledock::forwarding::{AnswerEnd, In, Out, RequestFlow};
+use spindledock::forwarding::{AnswerEnd, FlowAction, FlowEvent, RequestFlow};
 use spindledock::gate::Balancer;
 use spindledock::kernel::time::{Span, Time};
 use spindledock::transfer::continuation::RunContract;
@@ -19,7 +19,7 @@
     pub balancer: Balancer,
     pub request: RequestFlow,
     pub now: Time,
-    pub outs: Vec<Out>,
+    pub outs: Vec<FlowAction>,
 }
 
 /// An event of the second run: of its own words where runs differ.
@@ -42,14 +42,14 @@
         request.spec.answer_deadline = NOW + Span::ms(20_000);
         let mut story =
             Story { balancer: balancer(&["a1", "a2", "a3"]), request, now: NOW, outs: Vec::new() };
-        story.feed(In::Go);
-        story.feed(In::Head { attempt: 1, status: 200, stream: true });
-        (1..=passed).for_each(|n| story.feed(In::Chunk { attempt: 1, raw: event(n) }));
+        story.feed(FlowEvent::Start);
+        story.feed(FlowEvent::Head { attempt: 1, status: 200, is_stream: true });
+        (1..=passed).for_each(|n| story.feed(FlowEvent::Chunk { attempt: 1, raw: event(n) }));
         story.wait(SILENCE);
         story
     }
 
-    pub fn feed(&mut self, ev: In) {
+    pub fn feed(&mut self, ev: FlowEvent) {
         let outs = self.request.step(self.now, ev, &mut self.balancer);
         self.outs.extend(outs);
     }
@@ -59,27 +59,29 @@
         while self.now < until {
             self.now = self.now + TICK;
             ["a1", "a2", "a3"].iter().for_each(|name| report(&mut self.balancer, self.now, name, 0));
-            self.feed(In::Tick);
+            self.feed(FlowEvent::Tick);
         }
     }
 
     pub fn opened(&self, no: u64) -> Option<Option<String>> {
         self.outs.iter().find_map(|o| match o {
-            Out::Open { attempt, last, .. } if *attempt == no => Some(last.clone()),
+            FlowAction::Open { attempt, last_event_id: last, .. } if *attempt == no => Some(last.clone()),
             _ => None,
         })
     }
 
     pub fn closed(&self, no: u64) -> bool {
-        self.outs.iter().any(|o| matches!(o, Out::Close { attempt } if *attempt == no))
+        self.outs.iter().any(|o| matches!(o, FlowAction::Close { attempt } if *attempt == no))
     }
 
     pub fn broken(&self) -> bool {
-        self.outs.iter().any(|o| matches!(o, Out::Break(_) | Out::Refuse(_) | Out::Unknown(..)))
+        self.outs.iter().any(|o| {
+            matches!(o, FlowAction::Abort(_) | FlowAction::Refuse(_) | FlowAction::OutcomeUnknown(..))
+        })
     }
 
     pub fn finished(&self) -> bool {
-        self.outs.iter().any(|o| matches!(o, Out::Finish))
+        self.outs.iter().any(|o| matches!(o, FlowAction::Finish))
     }
 
     pub fn ids(&self) -> Vec<u64> {
@@ -89,7 +91,7 @@
 
     /// The first run comes back to life and ends the stream.
     pub fn first_goes_on(&mut self, passed: u64) {
-        (passed + 1..=ALL).for_each(|n| self.feed(In::Chunk { attempt: 1, raw: event(n) }));
-        self.feed(In::End { attempt: 1, end: AnswerEnd::Framed });
+        (passed + 1..=ALL).for_each(|n| self.feed(FlowEvent::Chunk { attempt: 1, raw: event(n) }));
+        self.feed(FlowEvent::End { attempt: 1, end: AnswerEnd::Framed });
     }
 }
--- a/tests/forwarding.rs
+++ b/tests/forwarding.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use given::{NOW, balancer, begin_move, event, moving, report, request, streaming, text};
-use spindledock::forwarding::{AnswerEnd, In, Out, RequestFlow};
+use spindledock::forwarding::{AnswerEnd, FlowAction, FlowEvent, RequestFlow};
 use spindledock::kernel::time::Span;
 
 #[test]
@@ -11,18 +11,19 @@
     let mut g = balancer(&["a1", "a2"]);
     let mut r = request(true);
     streaming(&mut r, &mut g, 3);
-    let outs = r.step(NOW, In::Lost { attempt: 1 }, &mut g);
+    let outs = r.step(NOW, FlowEvent::Lost { attempt: 1 }, &mut g);
     assert!(
-        outs.iter().any(|o| matches!(o, Out::Open { attempt: 2, last: Some(l), .. } if l == "2")),
+        outs.iter()
+            .any(|o| matches!(o, FlowAction::Open { attempt: 2, last_event_id: Some(l), .. } if l == "2")),
         "{outs:?}"
     );
-    assert_eq!(text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(4) }, &mut g)), "");
+    assert_eq!(text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(4) }, &mut g)), "");
     let mut full = balancer(&["a1"]);
     let mut r = request(true);
     streaming(&mut r, &mut full, 3);
-    let outs = r.step(NOW, In::Lost { attempt: 1 }, &mut full);
-    assert!(outs.iter().any(|o| matches!(o, Out::Wait { .. })), "{outs:?}");
-    let outs = r.step(NOW, In::End { attempt: 1, end: AnswerEnd::Framed }, &mut full);
+    let outs = r.step(NOW, FlowEvent::Lost { attempt: 1 }, &mut full);
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::Wait { .. })), "{outs:?}");
+    let outs = r.step(NOW, FlowEvent::End { attempt: 1, end: AnswerEnd::Framed }, &mut full);
     assert!(outs.is_empty(), "{outs:?}");
 }
 
@@ -30,22 +31,22 @@
 fn given_bytes_sent_when_the_runner_is_lost_then_the_answer_says_unknown_and_not_refused() {
     let mut g = balancer(&["a1", "a2"]);
     let mut r = request(false);
-    r.step(NOW, In::Go, &mut g);
-    let outs = r.step(NOW, In::Lost { attempt: 1 }, &mut g);
-    assert!(outs.iter().any(|o| matches!(o, Out::Unknown(502, _))), "{outs:?}");
-    assert!(!outs.iter().any(|o| matches!(o, Out::Refuse(_) | Out::Open { .. })), "{outs:?}");
+    r.step(NOW, FlowEvent::Start, &mut g);
+    let outs = r.step(NOW, FlowEvent::Lost { attempt: 1 }, &mut g);
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::OutcomeUnknown(502, _))), "{outs:?}");
+    assert!(!outs.iter().any(|o| matches!(o, FlowAction::Refuse(_) | FlowAction::Open { .. })), "{outs:?}");
 }
 
 #[test]
 fn given_a_runner_not_reached_when_credit_is_left_then_another_is_tried_else_it_is_refused_at_once() {
     let mut g = balancer(&["a1", "a2"]);
     let mut r = request(false);
-    r.step(NOW, In::Go, &mut g);
-    let outs = r.step(NOW, In::OpenFailed { attempt: 1, why: None }, &mut g);
-    assert!(outs.iter().any(|o| matches!(o, Out::Open { attempt: 2, .. })), "{outs:?}");
+    r.step(NOW, FlowEvent::Start, &mut g);
+    let outs = r.step(NOW, FlowEvent::OpenFailed { attempt: 1, reason: None }, &mut g);
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::Open { attempt: 2, .. })), "{outs:?}");
     while g.retry_budget.try_spend() {}
-    let outs = r.step(NOW, In::OpenFailed { attempt: 2, why: None }, &mut g);
-    assert!(outs.iter().any(|o| matches!(o, Out::Refuse(_))), "{outs:?}");
+    let outs = r.step(NOW, FlowEvent::OpenFailed { attempt: 2, reason: None }, &mut g);
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::Refuse(_))), "{outs:?}");
 }
 
 #[test]
@@ -53,19 +54,20 @@
     let mut g = balancer(&["a1", "a2", "a3"]);
     let mut r = request(true);
     let mut passed = streaming(&mut r, &mut g, 3);
-    r.step(NOW, In::Lost { attempt: 1 }, &mut g);
-    r.step(NOW, In::Head { attempt: 2, status: 200, stream: true }, &mut g);
+    r.step(NOW, FlowEvent::Lost { attempt: 1 }, &mut g);
+    r.step(NOW, FlowEvent::Head { attempt: 2, status: 200, is_stream: true }, &mut g);
     let other = Bytes::from("id: 3\ndata: x3\n\nid: 4\ndata: x4\n\n");
-    let outs = r.step(NOW, In::Chunk { attempt: 2, raw: other }, &mut g);
+    let outs = r.step(NOW, FlowEvent::Chunk { attempt: 2, raw: other }, &mut g);
     passed += &text(&outs);
-    assert!(outs.iter().any(|o| matches!(o, Out::Close { attempt: 2 })), "{outs:?}");
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::Close { attempt: 2 })), "{outs:?}");
     assert!(
-        outs.iter().any(|o| matches!(o, Out::Open { attempt: 3, last: Some(l), .. } if l == "2")),
+        outs.iter()
+            .any(|o| matches!(o, FlowAction::Open { attempt: 3, last_event_id: Some(l), .. } if l == "2")),
         "{outs:?}"
     );
-    r.step(NOW, In::Head { attempt: 3, status: 200, stream: true }, &mut g);
+    r.step(NOW, FlowEvent::Head { attempt: 3, status: 200, is_stream: true }, &mut g);
     for n in 3..=5 {
-        passed += &text(&r.step(NOW, In::Chunk { attempt: 3, raw: event(n) }, &mut g));
+        passed += &text(&r.step(NOW, FlowEvent::Chunk { attempt: 3, raw: event(n) }, &mut g));
     }
     let want: String = (1..=5).map(|n| String::from_utf8_lossy(&event(n)).into_owned()).collect();
     assert_eq!(passed, want);
@@ -80,28 +82,29 @@
         streaming(&mut r, &mut g, 3);
         let from = r.runner_of(1).expect("a attempt").0;
         moving(&mut g, &from, if from == "a1" { "a2" } else { "a1" });
-        let outs = r.step(NOW, In::Tick, &mut g);
-        assert_eq!(outs.iter().any(|o| matches!(o, Out::Open { .. })), moves, "{tries}: {outs:?}");
+        let outs = r.step(NOW, FlowEvent::Tick, &mut g);
+        assert_eq!(outs.iter().any(|o| matches!(o, FlowAction::Open { .. })), moves, "{tries}: {outs:?}");
     }
 }
 
 #[test]
 fn given_a_small_gap_when_the_warm_run_catches_up_then_the_cut_opens_at_the_last_passed_event() {
     let (mut g, mut r, mut passed) = begin_move(3);
-    passed += &text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(4) }, &mut g));
-    let outs = r.step(NOW, In::Chunk { attempt: 2, raw: event(4) }, &mut g);
+    passed += &text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(4) }, &mut g));
+    let outs = r.step(NOW, FlowEvent::Chunk { attempt: 2, raw: event(4) }, &mut g);
     assert!(
-        outs.iter().any(|o| matches!(o, Out::Open { attempt: 3, last: Some(l), .. } if l == "4")),
+        outs.iter()
+            .any(|o| matches!(o, FlowAction::Open { attempt: 3, last_event_id: Some(l), .. } if l == "4")),
         "{outs:?}"
     );
-    assert_eq!(text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(5) }, &mut g)), "", "held back");
-    r.step(NOW, In::Head { attempt: 3, status: 200, stream: true }, &mut g);
-    let outs = r.step(NOW, In::Chunk { attempt: 3, raw: event(5) }, &mut g);
+    assert_eq!(text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(5) }, &mut g)), "", "held back");
+    r.step(NOW, FlowEvent::Head { attempt: 3, status: 200, is_stream: true }, &mut g);
+    let outs = r.step(NOW, FlowEvent::Chunk { attempt: 3, raw: event(5) }, &mut g);
     passed += &text(&outs);
-    assert!(outs.iter().any(|o| matches!(o, Out::Close { attempt: 1 })), "{outs:?}");
-    passed += &text(&r.step(NOW, In::Chunk { attempt: 3, raw: event(6) }, &mut g));
-    let outs = r.step(NOW, In::End { attempt: 3, end: AnswerEnd::Framed }, &mut g);
-    assert!(outs.iter().any(|o| matches!(o, Out::Finish)), "{outs:?}");
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::Close { attempt: 1 })), "{outs:?}");
+    passed += &text(&r.step(NOW, FlowEvent::Chunk { attempt: 3, raw: event(6) }, &mut g));
+    let outs = r.step(NOW, FlowEvent::End { attempt: 3, end: AnswerEnd::Framed }, &mut g);
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::Finish)), "{outs:?}");
     let want: String = (1..=6).map(|n| String::from_utf8_lossy(&event(n)).into_owned()).collect();
     assert_eq!(passed, want);
 }
@@ -110,28 +113,28 @@
 fn given_a_cut_when_the_destination_fails_or_differs_or_the_source_ends_then_the_source_keeps_it() {
     for case in 0..4 {
         let (mut g, mut r, mut passed) = begin_move(3);
-        passed += &text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(4) }, &mut g));
-        r.step(NOW, In::Chunk { attempt: 2, raw: event(4) }, &mut g);
-        passed += &text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(5) }, &mut g));
-        r.step(NOW, In::Head { attempt: 3, status: 200, stream: true }, &mut g);
+        passed += &text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(4) }, &mut g));
+        r.step(NOW, FlowEvent::Chunk { attempt: 2, raw: event(4) }, &mut g);
+        passed += &text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(5) }, &mut g));
+        r.step(NOW, FlowEvent::Head { attempt: 3, status: 200, is_stream: true }, &mut g);
         let outs = match case {
-            0 => r.step(NOW, In::Lost { attempt: 3 }, &mut g),
-            1 => r.step(NOW, In::Chunk { attempt: 3, raw: event(9) }, &mut g),
+            0 => r.step(NOW, FlowEvent::Lost { attempt: 3 }, &mut g),
+            1 => r.step(NOW, FlowEvent::Chunk { attempt: 3, raw: event(9) }, &mut g),
             2 => {
                 let late = NOW + Span::ms(400);
-                r.step(late, In::Tick, &mut g);
+                r.step(late, FlowEvent::Tick, &mut g);
                 report(&mut g, NOW + Span::ms(5400), "a1", 0);
                 report(&mut g, NOW + Span::ms(5400), "a2", 0);
-                r.step(NOW + Span::ms(5400), In::Tick, &mut g)
+                r.step(NOW + Span::ms(5400), FlowEvent::Tick, &mut g)
             }
             _ => vec![],
         };
         passed += &text(&outs);
-        let outs = r.step(NOW, In::End { attempt: 1, end: AnswerEnd::Framed }, &mut g);
+        let outs = r.step(NOW, FlowEvent::End { attempt: 1, end: AnswerEnd::Framed }, &mut g);
         passed += &text(&outs);
         let want: String = (1..=5).map(|n| String::from_utf8_lossy(&event(n)).into_owned()).collect();
         assert_eq!(passed, want, "case {case}");
-        assert!(outs.iter().any(|o| matches!(o, Out::Finish)), "case {case} {outs:?}");
+        assert!(outs.iter().any(|o| matches!(o, FlowAction::Finish)), "case {case} {outs:?}");
     }
 }
 
@@ -140,13 +143,13 @@
     let mut g = balancer(&["a1"]);
     let mut rows: Vec<RequestFlow> = (0..8).map(|_| request(true)).collect();
     for r in &mut rows {
-        assert!(matches!(r.step(NOW, In::Go, &mut g)[..], [Out::Open { .. }]));
+        assert!(matches!(r.step(NOW, FlowEvent::Start, &mut g)[..], [FlowAction::Open { .. }]));
     }
     report(&mut g, NOW, "a1", 8);
-    assert!(matches!(request(true).step(NOW, In::Go, &mut g)[..], [Out::Wait { .. }]));
-    rows[0].step(NOW, In::Head { attempt: 1, status: 200, stream: true }, &mut g);
-    rows[0].step(NOW, In::End { attempt: 1, end: AnswerEnd::Framed }, &mut g);
-    assert!(matches!(request(true).step(NOW, In::Go, &mut g)[..], [Out::Open { .. }]));
+    assert!(matches!(request(true).step(NOW, FlowEvent::Start, &mut g)[..], [FlowAction::Wait { .. }]));
+    rows[0].step(NOW, FlowEvent::Head { attempt: 1, status: 200, is_stream: true }, &mut g);
+    rows[0].step(NOW, FlowEvent::End { attempt: 1, end: AnswerEnd::Framed }, &mut g);
+    assert!(matches!(request(true).step(NOW, FlowEvent::Start, &mut g)[..], [FlowAction::Open { .. }]));
 }
 
 #[test]
@@ -160,9 +163,9 @@
         for ms in (0..4000).step_by(50) {
             let now = NOW + Span::ms(ms);
             report(&mut g, now, other, 0);
-            let outs = r.step(now, In::Tick, &mut g);
-            asked |= outs.iter().any(|o| matches!(o, Out::Open { attempt: 2, .. }));
-            ended |= outs.iter().any(|o| matches!(o, Out::Close { attempt: 1 }));
+            let outs = r.step(now, FlowEvent::Tick, &mut g);
+            asked |= outs.iter().any(|o| matches!(o, FlowAction::Open { attempt: 2, .. }));
+            ended |= outs.iter().any(|o| matches!(o, FlowAction::Close { attempt: 1 }));
         }
         assert_eq!(
             (asked, ended),
@@ -171,11 +174,11 @@
         );
         if moves {
             let now = NOW + Span::ms(4000);
-            r.step(now, In::Head { attempt: 2, status: 200, stream: true }, &mut g);
+            r.step(now, FlowEvent::Head { attempt: 2, status: 200, is_stream: true }, &mut g);
             let raw = Bytes::from([event(3), event(4)].concat());
-            let outs = r.step(now, In::Chunk { attempt: 2, raw }, &mut g);
-            assert!(outs.iter().any(|o| matches!(o, Out::Close { attempt: 1 })), "{outs:?}");
-            assert_eq!(text(&outs), text(&[Out::Pass(event(4))]));
+            let outs = r.step(now, FlowEvent::Chunk { attempt: 2, raw }, &mut g);
+            assert!(outs.iter().any(|o| matches!(o, FlowAction::Close { attempt: 1 })), "{outs:?}");
+            assert_eq!(text(&outs), text(&[FlowAction::Forward(event(4))]));
         }
     }
 }
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -7,7 +7,7 @@
 use spindledock::kernel::log_format;
 use spindledock::launch::deployment::{quebec, vanua};
 use spindledock::msg::{Record, Role};
-use spindledock::transfer::event_buffer::Splitter;
+use spindledock::transfer::event_buffer::EventSplitter;
 use spindledock::wire;
 use std::path::PathBuf;
 
@@ -227,13 +227,13 @@
 fn given_any_chunking_when_split_then_events_come_whole() {
     fn test(cuts: Vec<u8>) -> bool {
         let whole: String = (0..20).map(|n| format!("id: {n}\ndata: w{n}\n\n")).collect();
-        let (mut s, mut rest, mut out) = (Splitter::default(), whole.as_bytes(), Vec::new());
+        let (mut s, mut rest, mut out) = (EventSplitter::default(), whole.as_bytes(), Vec::new());
         for c in cuts {
             let (a, b) = rest.split_at((c as usize % 30).min(rest.len()));
-            out.extend(s.add(a));
+            out.extend(s.push(a));
             rest = b;
         }
-        out.extend(s.add(rest));
+        out.extend(s.push(rest));
         out.len() == 20 && out.iter().enumerate().all(|(n, i)| i.id == Some(n.to_string()))
     }
     check(test as fn(Vec<u8>) -> bool);
--- a/tests/platform_given/road.rs
+++ b/tests/platform_given/road.rs
@@ -71,7 +71,7 @@
         let caller = Arc::new(Caller);
         let words = Arc::new(RunnerWords { node: "n".into() });
         let front = Arc::new(Front {
-            table: Arc::new(BalancerTable::with_plain_unreported(
+            table: Arc::new(BalancerTable::with_unpolled_plain_runners(
                 Name::from("hall-a"),
                 spindledock::distribution::reader::FRESHNESS_LIMIT,
             )),
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use given::{event, text};
 use silent::{ALL, Story, second};
-use spindledock::forwarding::{AnswerEnd, In};
+use spindledock::forwarding::{AnswerEnd, FlowEvent};
 use spindledock::kernel::time::Span;
 use spindledock::transfer::continuation::RunContract;
 
@@ -31,14 +31,14 @@
 
 #[test]
 fn given_a_second_run_of_no_use_when_the_first_speaks_again_then_the_answer_is_whole_and_its_own() {
-    let words = |raw: &'static str| In::Chunk { attempt: 2, raw: Bytes::from(raw) };
-    let ends: [&dyn Fn() -> In; 6] = [
-        &|| In::Shed { attempt: 2, gone: false },
+    let words = |raw: &'static str| FlowEvent::Chunk { attempt: 2, raw: Bytes::from(raw) };
+    let ends: [&dyn Fn() -> FlowEvent; 6] = [
+        &|| FlowEvent::Rejected { attempt: 2, lacks_weights: false },
         &|| words("id: 77\ndata: other\n\n"),
         &|| words("id: 1\ndata: other\n\n"),
-        &|| In::Head { attempt: 2, status: 500, stream: false },
-        &|| In::Lost { attempt: 2 },
-        &|| In::End { attempt: 2, end: AnswerEnd::Framed },
+        &|| FlowEvent::Head { attempt: 2, status: 500, is_stream: false },
+        &|| FlowEvent::Lost { attempt: 2 },
+        &|| FlowEvent::End { attempt: 2, end: AnswerEnd::Framed },
     ];
     for end in ends {
         for runs in CONTRACTS {
@@ -62,17 +62,17 @@
     for runs in CONTRACTS {
         for passed in 1..ALL {
             let mut story = Story::silent(runs, passed, 2);
-            story.feed(In::Head { attempt: 2, status: 200, stream: true });
+            story.feed(FlowEvent::Head { attempt: 2, status: 200, is_stream: true });
             if runs == RunContract::SameEvents {
-                story.feed(In::Chunk { attempt: 2, raw: event(passed) });
+                story.feed(FlowEvent::Chunk { attempt: 2, raw: event(passed) });
                 assert!(!story.closed(1), "a repeated event alone is no reason to leave the first run");
             }
             for n in passed + 1..=ALL {
-                story.feed(In::Chunk { attempt: 2, raw: second(runs, n) });
+                story.feed(FlowEvent::Chunk { attempt: 2, raw: second(runs, n) });
                 assert!(story.closed(1), "{runs:?} {passed}");
-                story.feed(In::Chunk { attempt: 1, raw: event(n) });
+                story.feed(FlowEvent::Chunk { attempt: 1, raw: event(n) });
             }
-            story.feed(In::End { attempt: 2, end: AnswerEnd::Framed });
+            story.feed(FlowEvent::End { attempt: 2, end: AnswerEnd::Framed });
             assert!(story.finished() && !story.broken(), "{runs:?} {passed}");
             assert_eq!(story.ids(), (1..=ALL).collect::<Vec<_>>(), "{runs:?} {passed}");
         }
@@ -88,12 +88,13 @@
             assert!(spoke.closed(2) && spoke.finished(), "{runs:?} {passed}: {:?}", spoke.outs);
             assert_eq!(spoke.ids(), (1..=ALL).collect::<Vec<_>>());
             let mut lost = Story::silent(runs, passed, 2);
-            lost.feed(In::Lost { attempt: 1 });
+            lost.feed(FlowEvent::Lost { attempt: 1 });
             assert!(!lost.broken() && lost.opened(3).is_none(), "{runs:?} {passed}: {:?}", lost.outs);
-            lost.feed(In::Head { attempt: 2, status: 200, stream: true });
+            lost.feed(FlowEvent::Head { attempt: 2, status: 200, is_stream: true });
             let again = u64::from(runs == RunContract::SameIds);
-            (passed + again..=ALL).for_each(|n| lost.feed(In::Chunk { attempt: 2, raw: second(runs, n) }));
-            lost.feed(In::End { attempt: 2, end: AnswerEnd::Framed });
+            (passed + again..=ALL)
+                .for_each(|n| lost.feed(FlowEvent::Chunk { attempt: 2, raw: second(runs, n) }));
+            lost.feed(FlowEvent::End { attempt: 2, end: AnswerEnd::Framed });
             assert!(lost.finished() && !lost.broken(), "{runs:?} {passed}: {:?}", lost.outs);
             assert_eq!(lost.ids(), (1..=ALL).collect::<Vec<_>>(), "{runs:?} {passed}");
         }
@@ -106,7 +107,7 @@
         let tries = if case == 0 { 1 } else { 2 };
         let mut story = Story::silent(RunContract::SameIds, 0, 1);
         story.request.spec.max_attempts = tries;
-        story.feed(In::Chunk { attempt: 1, raw: event(1) });
+        story.feed(FlowEvent::Chunk { attempt: 1, raw: event(1) });
         if case == 1 {
             while story.balancer.retry_budget.try_spend() {}
         }
--- a/tests/transfer_ids.rs
+++ b/tests/transfer_ids.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use given::{NOW, balancer, event, moving, request, streaming, text};
-use spindledock::forwarding::{AnswerEnd, In, Out, RequestFlow};
+use spindledock::forwarding::{AnswerEnd, FlowAction, FlowEvent, RequestFlow};
 use spindledock::gate::Balancer;
 use spindledock::transfer::continuation::{RunContract, Sequence};
 
@@ -23,9 +23,9 @@
     let passed = streaming(&mut r, &mut g, PASSED);
     let from = r.runner_of(1).expect("an attempt").0;
     moving(&mut g, &from, if from == "a1" { "a2" } else { "a1" });
-    let outs = r.step(NOW, In::Tick, &mut g);
-    assert!(outs.iter().any(|o| matches!(o, Out::Open { attempt: 2, .. })), "{outs:?}");
-    r.step(NOW, In::Head { attempt: 2, status: 200, stream: true }, &mut g);
+    let outs = r.step(NOW, FlowEvent::Tick, &mut g);
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::Open { attempt: 2, .. })), "{outs:?}");
+    r.step(NOW, FlowEvent::Head { attempt: 2, status: 200, is_stream: true }, &mut g);
     (g, r, passed)
 }
 
@@ -36,21 +36,22 @@
 #[test]
 fn given_words_of_its_own_when_a_stream_moves_then_it_is_cut_at_a_passed_event_and_goes_on_behind_it() {
     let (mut g, mut r, mut passed) = begin();
-    passed += &text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(4) }, &mut g));
-    let outs = r.step(NOW, In::Chunk { attempt: 2, raw: other(4) }, &mut g);
+    passed += &text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(4) }, &mut g));
+    let outs = r.step(NOW, FlowEvent::Chunk { attempt: 2, raw: other(4) }, &mut g);
     passed += &text(&outs);
     assert!(
-        outs.iter().any(|o| matches!(o, Out::Open { attempt: 3, last: Some(l), .. } if l == "4")),
+        outs.iter()
+            .any(|o| matches!(o, FlowAction::Open { attempt: 3, last_event_id: Some(l), .. } if l == "4")),
         "{outs:?}"
     );
-    r.step(NOW, In::Head { attempt: 3, status: 200, stream: true }, &mut g);
-    assert_eq!(text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(5) }, &mut g)), "", "held back");
-    let outs = r.step(NOW, In::Chunk { attempt: 3, raw: other(5) }, &mut g);
+    r.step(NOW, FlowEvent::Head { attempt: 3, status: 200, is_stream: true }, &mut g);
+    assert_eq!(text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(5) }, &mut g)), "", "held back");
+    let outs = r.step(NOW, FlowEvent::Chunk { attempt: 3, raw: other(5) }, &mut g);
     passed += &text(&outs);
-    assert!(outs.iter().any(|o| matches!(o, Out::Close { attempt: 1 })), "{outs:?}");
-    passed += &text(&r.step(NOW, In::Chunk { attempt: 3, raw: other(6) }, &mut g));
-    let outs = r.step(NOW, In::End { attempt: 3, end: AnswerEnd::Framed }, &mut g);
-    assert!(outs.iter().any(|o| matches!(o, Out::Finish)), "{outs:?}");
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::Close { attempt: 1 })), "{outs:?}");
+    passed += &text(&r.step(NOW, FlowEvent::Chunk { attempt: 3, raw: other(6) }, &mut g));
+    let outs = r.step(NOW, FlowEvent::End { attempt: 3, end: AnswerEnd::Framed }, &mut g);
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::Finish)), "{outs:?}");
     assert_eq!(ids(&passed), (1..=6).collect::<Vec<_>>());
 }
 
@@ -58,14 +59,14 @@
 fn given_a_destination_at_another_place_when_a_stream_moves_then_it_stays_at_its_source() {
     for wrong in [1, 3, 5, 9] {
         let (mut g, mut r, mut passed) = begin();
-        passed += &text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(4) }, &mut g));
-        let outs = r.step(NOW, In::Chunk { attempt: 2, raw: other(wrong) }, &mut g);
-        assert!(outs.iter().any(|o| matches!(o, Out::Close { attempt: 2 })), "{wrong}: {outs:?}");
+        passed += &text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(4) }, &mut g));
+        let outs = r.step(NOW, FlowEvent::Chunk { attempt: 2, raw: other(wrong) }, &mut g);
+        assert!(outs.iter().any(|o| matches!(o, FlowAction::Close { attempt: 2 })), "{wrong}: {outs:?}");
         for n in 5..=6 {
-            passed += &text(&r.step(NOW, In::Chunk { attempt: 1, raw: event(n) }, &mut g));
+            passed += &text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(n) }, &mut g));
         }
-        let outs = r.step(NOW, In::End { attempt: 1, end: AnswerEnd::Framed }, &mut g);
-        assert!(outs.iter().any(|o| matches!(o, Out::Finish)), "{outs:?}");
+        let outs = r.step(NOW, FlowEvent::End { attempt: 1, end: AnswerEnd::Framed }, &mut g);
+        assert!(outs.iter().any(|o| matches!(o, FlowAction::Finish)), "{outs:?}");
         let want: String = (1..=6).map(|n| String::from_utf8_lossy(&event(n)).into_owned()).collect();
         assert_eq!(passed, want, "{wrong}");
     }
@@ -75,11 +76,11 @@
 fn given_events_without_ids_when_a_stream_moves_then_they_are_passed_on_and_compared_with_nothing() {
     let (mut g, mut r, _) = begin();
     let ping = Bytes::from(": ping\n\n");
-    assert_eq!(text(&r.step(NOW, In::Chunk { attempt: 1, raw: ping.clone() }, &mut g)), ": ping\n\n");
-    assert_eq!(text(&r.step(NOW, In::Chunk { attempt: 2, raw: ping }, &mut g)), "");
-    r.step(NOW, In::Chunk { attempt: 1, raw: event(4) }, &mut g);
-    let outs = r.step(NOW, In::Chunk { attempt: 2, raw: other(4) }, &mut g);
-    assert!(outs.iter().any(|o| matches!(o, Out::Open { attempt: 3, .. })), "{outs:?}");
+    assert_eq!(text(&r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: ping.clone() }, &mut g)), ": ping\n\n");
+    assert_eq!(text(&r.step(NOW, FlowEvent::Chunk { attempt: 2, raw: ping }, &mut g)), "");
+    r.step(NOW, FlowEvent::Chunk { attempt: 1, raw: event(4) }, &mut g);
+    let outs = r.step(NOW, FlowEvent::Chunk { attempt: 2, raw: other(4) }, &mut g);
+    assert!(outs.iter().any(|o| matches!(o, FlowAction::Open { attempt: 3, .. })), "{outs:?}");
 }
 
 fn after(ids: &[&str]) -> Sequence {
--- a/tests/waiter.rs
+++ b/tests/waiter.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use given::{NOW, balancer, report, request, streaming, text};
 use silent::{ALL, SILENCE, Story, second};
-use spindledock::forwarding::{AnswerEnd, In, Out, RequestFlow};
+use spindledock::forwarding::{AnswerEnd, FlowAction, FlowEvent, RequestFlow};
 use spindledock::gate::order::RefusalReason;
 use spindledock::gate::{Balancer, RoutingDecision};
 use spindledock::kernel::time::Span;
@@ -27,7 +27,7 @@
 fn resumed_and_silent(runs: RunContract, passed: u64) -> Story {
     let mut story = Story::silent(runs, passed, 1);
     story.request.spec.max_attempts = 4;
-    story.feed(In::Lost { attempt: 1 });
+    story.feed(FlowEvent::Lost { attempt: 1 });
     assert!(story.opened(2).is_some(), "{:?}", story.outs);
     story.wait(SILENCE);
     assert!(story.opened(3).is_some(), "{:?}", story.outs);
@@ -37,15 +37,15 @@
 // Guards against: a request turned away by its silent runner waits for a fourth one while its standby run serves it.
 #[test]
 fn given_a_standby_run_when_the_silent_runner_gives_up_in_any_way_then_the_standby_carries_the_stream_on() {
-    let words = |raw: &'static str| In::Chunk { attempt: 2, raw: Bytes::from(raw) };
-    let ends: [&dyn Fn() -> In; 7] = [
-        &|| In::Shed { attempt: 2, gone: false },
-        &|| In::Shed { attempt: 2, gone: true },
-        &|| In::OpenFailed { attempt: 2, why: None },
-        &|| In::OpenFailed { attempt: 2, why: Some(RefusalReason::NoRunner) },
-        &|| In::Head { attempt: 2, status: 500, stream: false },
+    let words = |raw: &'static str| FlowEvent::Chunk { attempt: 2, raw: Bytes::from(raw) };
+    let ends: [&dyn Fn() -> FlowEvent; 7] = [
+        &|| FlowEvent::Rejected { attempt: 2, lacks_weights: false },
+        &|| FlowEvent::Rejected { attempt: 2, lacks_weights: true },
+        &|| FlowEvent::OpenFailed { attempt: 2, reason: None },
+        &|| FlowEvent::OpenFailed { attempt: 2, reason: Some(RefusalReason::NoRunner) },
+        &|| FlowEvent::Head { attempt: 2, status: 500, is_stream: false },
         &|| words("id: 77\ndata: other\n\n"),
-        &|| In::Lost { attempt: 2 },
+        &|| FlowEvent::Lost { attempt: 2 },
     ];
     for end in ends {
         for runs in CONTRACTS {
@@ -54,13 +54,13 @@
                 let what = format!("{:?} {runs:?} {passed}", end());
                 let before = story.outs.len();
                 story.feed(end());
-                let waits = story.outs[before..].iter().any(|o| matches!(o, Out::Wait { .. }));
+                let waits = story.outs[before..].iter().any(|o| matches!(o, FlowAction::Wait { .. }));
                 assert!(!waits && story.opened(4).is_none(), "{what}: {:?}", &story.outs[before..]);
-                story.feed(In::Head { attempt: 3, status: 200, stream: true });
+                story.feed(FlowEvent::Head { attempt: 3, status: 200, is_stream: true });
                 let again = u64::from(runs == RunContract::SameIds);
                 (passed + again..=ALL)
-                    .for_each(|n| story.feed(In::Chunk { attempt: 3, raw: second(runs, n) }));
-                story.feed(In::End { attempt: 3, end: AnswerEnd::Framed });
+                    .for_each(|n| story.feed(FlowEvent::Chunk { attempt: 3, raw: second(runs, n) }));
+                story.feed(FlowEvent::End { attempt: 3, end: AnswerEnd::Framed });
                 assert!(story.finished() && !story.broken(), "{what}: {:?}", story.outs);
                 assert_eq!(story.ids(), (1..=ALL).collect::<Vec<_>>(), "{what}");
                 assert_eq!(
@@ -79,8 +79,9 @@
     let mut r = request(true);
     streaming(&mut r, &mut g, 2);
     RUNNERS[..2].iter().for_each(|name| report(&mut g, NOW, name, 8));
-    let outs = r.step(NOW, In::Lost { attempt: 1 }, &mut g);
-    let Some(avoid) = outs.iter().find_map(|o| if let Out::Wait { avoid } = o { Some(avoid) } else { None })
+    let outs = r.step(NOW, FlowEvent::Lost { attempt: 1 }, &mut g);
+    let Some(avoid) =
+        outs.iter().find_map(|o| if let FlowAction::Wait { avoid } = o { Some(avoid) } else { None })
     else {
         panic!("{outs:?}")
     };
@@ -104,11 +105,11 @@
             RUNNERS[..2].iter().for_each(|name| report(&mut g, NOW, name, 0));
             g.route_waiting(NOW);
         }
-        r.step(NOW, In::Gone, &mut g);
+        r.step(NOW, FlowEvent::ClientGone, &mut g);
         assert_eq!(g.queue.len(), 0, "the waiter stays");
         for plan in plans.lock().expect("plans").drain(..) {
             assert!(late, "{plan:?}");
-            r.step(NOW, In::Woken(plan), &mut g);
+            r.step(NOW, FlowEvent::Routed(plan), &mut g);
         }
         assert_eq!(taken(&g), 0, "late {late}: a slot stays");
     }
@@ -124,7 +125,7 @@
     let order = story.request.spec.clone();
     let plan = story.balancer.route(story.now, &order, &[]);
     assert!(matches!(plan, RoutingDecision::Send(_)), "{plan:?}");
-    story.feed(In::Woken(plan));
+    story.feed(FlowEvent::Routed(plan));
     assert!(story.opened(4).is_none(), "{:?}", &story.outs[before..]);
     assert_eq!(taken(&story.balancer), busy, "the slot was not given back");
     story.wait(Span::ms(100));
