--- a/src/forwarding/answer_end.rs
+++ b/src/forwarding/answer_end.rs
@@ -1,11 +1,12 @@
-//! How answers end.
+//! How the end of an answer is recognised.
+//!
 #![deny(missing_docs)]
 
-/// How the end of a runner's answer was said.
+/// How the end of a runner's answer was marked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AnswerEnd {
-    /// By the answer's own framing: a length, or chunks.
+    /// By its framing: a content length or the last chunk.
     Framed,
-    /// By the end of its connection, which a killed runner's answer has too.
+    /// By the end of the connection, which also happens when a runner is killed.
     Closed,
 }
--- a/src/forwarding/attempt.rs
+++ b/src/forwarding/attempt.rs
@@ -1,3 +1,5 @@
+//! A single attempt at a runner, and the events of the main attempt.
+
 use super::answer_end::AnswerEnd;
 use super::request::*;
 use super::resume::ContinuationCheck;
@@ -8,33 +10,41 @@
 use crate::transfer::event_boundary::EventBoundary;
 use crate::transfer::event_buffer::{EventSplitter, StreamEvent};
 
-/// What the first event of a run must be, so that the stream can go on with it.
+/// What the first event of an attempt must be to continue the stream.
 #[derive(Clone, PartialEq, Debug)]
 pub enum ExpectedFirst {
-    /// The first run, or one whose first event was found right: anything goes.
+    /// Anything: the first attempt, or one whose first event was checked.
     Any,
-    /// The last event that was passed on, once more; it is not passed on again.
+    /// The last event forwarded, repeated; it is not forwarded again.
     Repeat(StreamEvent),
-    /// The event behind the last one that was passed on.
+    /// The event after the last one forwarded.
     Next,
 }
 
-/// One attempt at a runner, as the request's state machine sees it.
+/// An attempt at a runner.
 pub struct RunnerAttempt {
+    /// Its number.
     pub no: AttemptNo,
+    /// The runner.
     pub runner: Runner,
+    /// Splits the body into events.
     pub splitter: EventSplitter,
+    /// Whether the head of its answer has come.
     pub has_head: bool,
+    /// When it was opened.
     pub opened_at: Time,
+    /// Unused events.
     pub buffer: Vec<StreamEvent>,
-    /// Where the run stands in its stream.
+    /// Whether the stream is between two events or inside one.
     pub boundary: EventBoundary,
-    /// Its end, kept while its last events are still to be passed on.
+    /// Its end, if its last events are still to be forwarded.
     pub deferred_end: Option<AnswerEnd>,
+    /// What its first event must be.
     pub expected_first: ExpectedFirst,
 }
 
 impl RunnerAttempt {
+    /// An attempt that may begin with any event.
     pub fn new(no: AttemptNo, runner: Runner, since: Time) -> RunnerAttempt {
         let cut = EventSplitter::default();
         RunnerAttempt {
@@ -52,17 +62,19 @@
 }
 
 impl RequestFlow {
+    /// The attempt with this number, if it is open.
     pub fn attempt(&mut self, no: AttemptNo) -> Option<&mut RunnerAttempt> {
-        self.attempts.iter_mut().find(|l| l.no == no)
+        self.attempts.iter_mut().find(|run| run.no == no)
     }
 
-    /// The head of a run's answer has come.
+    /// Records that the head of an answer has come.
     pub fn on_head(&mut self, attempt: AttemptNo) {
         if let Some(run) = self.attempt(attempt) {
             run.has_head = true;
         }
     }
 
+    /// Handles the head of the main attempt: forwards the first one; a later one must be a stream to continue with.
     pub fn on_main_head(
         &mut self,
         now: Time,
@@ -74,9 +86,9 @@
     ) {
         let fit = stream && status == 200;
         self.heard_at = now;
-        let Some(l) = self.attempt(attempt) else { return };
-        l.has_head = true;
-        let runner = l.runner.instance.clone();
+        let Some(run) = self.attempt(attempt) else { return };
+        run.has_head = true;
+        let runner = run.runner.instance.clone();
         if self.is_answer_started {
             if !fit {
                 self.close(now, attempt, Some(false), balancer, out);
@@ -91,7 +103,7 @@
         out.push(FlowAction::Head { attempt });
     }
 
-    /// An event of the request's own run: the first one must go on where the stream stands.
+    /// Handles an event of the main attempt; the first one must continue the stream.
     pub fn on_main_item(
         &mut self,
         now: Time,
@@ -110,6 +122,7 @@
         }
     }
 
+    /// Forwards an event and records its place.
     pub fn forward_event(&mut self, item: StreamEvent, out: &mut Vec<FlowAction>) {
         if let Some(id) = &item.id {
             self.previous_event_id = self.sequence.last().map(|last| last.to_string());
@@ -123,16 +136,17 @@
         out.push(FlowAction::Forward(item.raw));
     }
 
-    /// Whether `end` may be the honest one of this run: a stream whose end only its connection says ends behind a whole
-    /// event, and a run that was to go on with a stream has given an event that does.
+    /// Whether `end` can be a regular end. A stream that ends with its connection must be between two events, and an attempt
+    /// that was to continue a stream must have done so.
     fn is_end_plausible(&mut self, attempt: AttemptNo, end: AnswerEnd) -> bool {
         let stream = self.is_stream;
-        self.attempt(attempt).is_some_and(|l| {
-            let said = !stream || end == AnswerEnd::Framed || l.boundary.may_end();
-            said && l.expected_first == ExpectedFirst::Any
+        self.attempt(attempt).is_some_and(|run| {
+            let said = !stream || end == AnswerEnd::Framed || run.boundary.may_end();
+            said && run.expected_first == ExpectedFirst::Any
         })
     }
 
+    /// Handles the end of the main attempt; an implausible one counts as a loss.
     pub fn on_main_end(
         &mut self,
         now: Time,
@@ -146,14 +160,14 @@
             return self.on_main_lost(now, attempt, balancer, out);
         }
         self.on_source_end(now, balancer, out);
-        if let Some(l) = self.attempt(attempt) {
-            let rest = l.splitter.take_rest();
+        if let Some(run) = self.attempt(attempt) {
+            let rest = run.splitter.take_rest();
             if !rest.is_empty() {
                 out.push(FlowAction::Forward(rest));
             }
         }
-        if let Some(l) = self.attempt(attempt) {
-            let held = now.since(l.opened_at);
+        if let Some(run) = self.attempt(attempt) {
+            let held = now.since(run.opened_at);
             balancer.record_occupancy(&self.spec.model, held);
         }
         self.close(now, attempt, Some(true), balancer, out);
@@ -162,7 +176,7 @@
         out.push(FlowAction::Finish);
     }
 
-    /// What is known of a request as it ends without a whole answer: for the log.
+    /// Log text for a request that ends without a complete answer.
     pub fn failure_summary(&self, refusal: &Refusal, balancer: &Balancer) -> String {
         let last = self.sequence.last().unwrap_or("none");
         let (opened, most, credit) =
@@ -174,7 +188,8 @@
         )
     }
 
+    /// The runner of an attempt.
     pub fn runner_of(&mut self, attempt: AttemptNo) -> Option<Name> {
-        self.attempt(attempt).map(|l| l.runner.instance.clone())
+        self.attempt(attempt).map(|run| run.runner.instance.clone())
     }
 }
--- a/src/forwarding/failure.rs
+++ b/src/forwarding/failure.rs
@@ -1,4 +1,4 @@
-//! What follows when a runner cannot be reached, or is lost with a request under way.
+//! What happens when the main attempt cannot be opened or is lost.
 
 use super::request::*;
 use crate::fleet::config::RouteKind;
@@ -7,6 +7,7 @@
 use crate::kernel::time::Time;
 
 impl RequestFlow {
+    /// Handles an attempt of which nothing was sent: tries another runner, on the retry budget if the runner was unreachable.
     pub fn on_open_failed(
         &mut self,
         now: Time,
@@ -16,7 +17,7 @@
         out: &mut Vec<FlowAction>,
     ) {
         self.attempts_opened = self.attempts_opened.saturating_sub(1);
-        let Some(runner) = self.attempt(attempt).map(|l| l.runner.instance.clone()) else { return };
+        let Some(runner) = self.attempt(attempt).map(|run| run.runner.instance.clone()) else { return };
         let good = if why.is_none() { Some(false) } else { None };
         self.close(now, attempt, good, balancer, out);
         if self.is_answer_started || self.may_have_run {
@@ -27,8 +28,8 @@
                 self.refuse(now, Refusal::new(RefusalReason::DeadlinePassed, 1), balancer, out)
             }
             Some(_) => {
-                let plan = balancer.route(now, &self.spec, &self.avoid);
-                self.apply_retry_decision(now, plan, balancer, out);
+                let decision = balancer.route(now, &self.spec, &self.avoid);
+                self.apply_retry_decision(now, decision, balancer, out);
             }
             None => {
                 balancer.on_unreachable(now, &runner);
@@ -37,26 +38,28 @@
                 if !balancer.retry_budget.try_spend() {
                     return self.refuse(now, Refusal::new(RefusalReason::RetryBudgetSpent, 1), balancer, out);
                 }
-                let plan = balancer.route(now, &self.spec, &self.avoid);
-                self.apply_retry_decision(now, plan, balancer, out);
+                let decision = balancer.route(now, &self.spec, &self.avoid);
+                self.apply_retry_decision(now, decision, balancer, out);
             }
         }
     }
 
+    /// Applies a decision on a further attempt.
     pub fn apply_retry_decision(
         &mut self,
         now: Time,
-        plan: RoutingDecision,
+        decision: RoutingDecision,
         balancer: &mut Balancer,
         out: &mut Vec<FlowAction>,
     ) {
-        match plan {
+        match decision {
             RoutingDecision::Send(runner) => self.open_main(now, runner, out),
             RoutingDecision::Wait(_) => self.wait_for_runner(out),
             RoutingDecision::Refuse(r) => self.refuse(now, r, balancer, out),
         }
     }
 
+    /// Handles the loss of the main attempt: continues elsewhere if the request may run again.
     pub fn on_main_lost(
         &mut self,
         now: Time,
@@ -64,7 +67,7 @@
         balancer: &mut Balancer,
         out: &mut Vec<FlowAction>,
     ) {
-        let Some(runner) = self.attempt(attempt).map(|l| l.runner.instance.clone()) else { return };
+        let Some(runner) = self.attempt(attempt).map(|run| run.runner.instance.clone()) else { return };
         self.on_source_failed(now, balancer, out);
         self.may_have_run = true;
         self.close(now, attempt, Some(false), balancer, out);
--- a/src/forwarding/migration.rs
+++ b/src/forwarding/migration.rs
@@ -1,17 +1,15 @@
+//! Planned moves of a stream to another runner: drives a `transfer::Handover` and performs its actions.
+
+use super::move_start::MOVE_RETRY_PAUSE;
 use super::request::*;
 use crate::gate::Balancer;
 use crate::kernel::ids::MoveId;
-use crate::kernel::time::{Span, Time};
-use crate::transfer::Handover;
+use crate::kernel::time::Time;
 use crate::transfer::event_buffer::StreamEvent;
 use crate::transfer::handover::HandoverAction;
 
-const MOVE_RETRY_PAUSE: Span = Span::ms(1000);
-const MOVE_ATTEMPTS_MAX: u64 = 5;
-const MOVE_RESERVED_ATTEMPTS: u64 = 2;
-
 impl RequestFlow {
-    /// An event of the run that a stream is being moved to, other than a piece of its answer.
+    /// Handles an event of the destination, other than a piece of its answer.
     pub fn on_destination_event(
         &mut self,
         now: Time,
@@ -51,6 +49,7 @@
         }
     }
 
+    /// Handles an event of the main attempt's stream: forwards it, or passes it to the move.
     pub fn on_source_item(
         &mut self,
         now: Time,
@@ -63,6 +62,7 @@
         self.apply_handover(now, steps, balancer, out);
     }
 
+    /// Handles an event of the destination's stream.
     pub fn on_destination_item(
         &mut self,
         now: Time,
@@ -75,6 +75,7 @@
         self.apply_handover(now, steps, balancer, out);
     }
 
+    /// The destination has failed; the stream stays.
     pub fn on_destination_failed(
         &mut self,
         now: Time,
@@ -87,24 +88,28 @@
         self.apply_handover(now, steps, balancer, out);
     }
 
+    /// The destination's answer has ended.
     pub fn on_destination_end(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         let Some((_, handover)) = &mut self.handover else { return };
         let steps = handover.on_destination_end();
         self.apply_handover(now, steps, balancer, out);
     }
 
+    /// The main attempt has ended; the move is abandoned.
     pub fn on_source_end(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         let Some((_, handover)) = &mut self.handover else { return };
         let steps = handover.on_source_end();
         self.apply_handover(now, steps, balancer, out);
     }
 
+    /// The main attempt has failed; the move is aborted.
     pub fn on_source_failed(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         let Some((_, handover)) = &mut self.handover else { return };
         let steps = handover.on_source_failed();
         self.apply_handover(now, steps, balancer, out);
     }
 
+    /// Performs the actions of a move.
     pub(super) fn apply_handover(
         &mut self,
         now: Time,
@@ -153,12 +158,13 @@
         }
         let main = self.main;
         if self.handover.is_none()
-            && let Some(end) = self.attempt(main).and_then(|l| l.deferred_end)
+            && let Some(end) = self.attempt(main).and_then(|run| run.deferred_end)
         {
             self.on_main_end(now, main, end, balancer, out);
         }
     }
 
+    /// Opens an attempt at the destination, on reserved credit for the first round and the cut; false if that is not possible.
     fn open_destination(
         &mut self,
         now: Time,
@@ -189,6 +195,7 @@
         true
     }
 
+    /// Makes the destination the main attempt.
     fn switch_to_destination(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         let Some((attempt, handover)) = self.handover.take() else { return };
         let old = self.main;
@@ -202,41 +209,4 @@
         );
         out.push(FlowAction::Log("move-done", text));
     }
-
-    fn handover_attempts(&self, id: MoveId) -> u64 {
-        self.last_handover.filter(|o| o.0 == id).map_or(0, |o| o.2)
-    }
-
-    pub(super) fn begin_handover(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
-        let main = self.main;
-        let Some(from) = self.runner_of(main) else { return };
-        let Some(plan) = balancer.move_from(&from, &self.spec.model) else { return };
-        if let Some((id, after, n)) = self.last_handover
-            && id == plan.id
-            && (now < after || n >= MOVE_ATTEMPTS_MAX)
-        {
-            return;
-        }
-        if self.attempts_opened >= self.spec.max_attempts {
-            return;
-        }
-        let Some(s) = balancer.slice.clone() else { return };
-        if !balancer.has_slot(now, &plan.to) {
-            self.last_handover = Some((plan.id, now + MOVE_RETRY_PAUSE, self.handover_attempts(plan.id)));
-            balancer.move_report_mut(plan.id).postponed += 1;
-            return;
-        }
-        if !balancer.retry_budget.try_reserve(MOVE_RESERVED_ATTEMPTS) {
-            balancer.move_report_mut(plan.id).postponed += 1;
-            self.last_handover = Some((plan.id, now + MOVE_RETRY_PAUSE, self.handover_attempts(plan.id)));
-            return;
-        }
-        self.reserved_attempts = MOVE_RESERVED_ATTEMPTS;
-        self.attempts_opened += 1;
-        let rules = (s.moving.clone(), self.spec.run_contract);
-        let last = self.sequence.last().map(|last| last.to_string());
-        let (handover, steps) = Handover::new(plan.id, plan.to.clone(), rules, now, last);
-        self.handover = Some((0, handover));
-        self.apply_handover(now, steps, balancer, out);
-    }
 }
--- a/src/forwarding/request.rs
+++ b/src/forwarding/request.rs
@@ -1,3 +1,5 @@
+//! State of a request, its events, and opening and closing of attempts.
+
 use super::attempt::RunnerAttempt;
 use crate::fleet::runner::Runner;
 use crate::gate::{Balancer, Refusal, RequestSpec, RoutingDecision};
@@ -9,43 +11,67 @@
 
 pub use super::events::{AttemptNo, FlowAction, FlowEvent};
 
+/// Longest silence of a runner after its answer has begun.
 pub const SILENCE_LIMIT: Span = Span::ms(30_000);
+/// Silence after which a runner without recent report is replaced, if the request may run again.
 pub const UNREPORTED_SILENCE_LIMIT: Span = Span::ms(1500);
+/// A pause between ticks that shows that this process did not run; the silence of the runner is then not counted.
 pub const PROCESS_PAUSE: Span = Span::ms(500);
 
+/// One request, from arrival to the end of its answer.
 pub struct RequestFlow {
+    /// The request.
     pub spec: RequestSpec,
+    /// Attempts in progress.
     pub attempts: Vec<RunnerAttempt>,
+    /// The attempt whose answer the client gets.
     pub main: AttemptNo,
+    /// Number of the next attempt.
     pub next_attempt: AttemptNo,
+    /// Runners that failed or rejected the request.
     pub avoid: Vec<Name>,
+    /// Whether the head of an answer was forwarded.
     pub is_answer_started: bool,
+    /// Whether a runner may have begun to execute the request.
     pub may_have_run: bool,
+    /// Whether it was counted as a first attempt in the retry budget.
     pub is_counted: bool,
-    /// The ids that were passed on.
+    /// Ids of the events forwarded.
     pub sequence: Sequence,
+    /// Id of the event before the last one with an id.
     pub previous_event_id: Option<String>,
+    /// The last event with an id that was forwarded.
     pub last_event: Option<StreamEvent>,
+    /// Number of events forwarded.
     pub events_forwarded: u64,
-    /// Whether an event without an id was passed on behind the last one with an id.
+    /// Whether an event with data and no id was forwarded after the last one with an id. The stream cannot be continued then.
     pub has_event_without_id: bool,
+    /// Attempts that count against the limit of the route.
     pub attempts_opened: u64,
+    /// A move of the stream in progress, and the attempt at its destination.
     pub handover: Option<(AttemptNo, Handover)>,
+    /// Attempts reserved in the retry budget for that move.
     pub reserved_attempts: u64,
+    /// The move that last failed or was postponed, when it may be tried again, and how often it failed.
     pub last_handover: Option<(MoveId, Time, u64)>,
+    /// Whether the request has ended.
     pub is_over: bool,
-    /// Whether it waits for a runner, by its last word to the forwarding.
+    /// Whether it waits for a runner.
     is_waiting: bool,
+    /// When the main attempt last sent something.
     pub heard_at: Time,
+    /// When the last tick came.
     pub ticked_at: Time,
+    /// Whether the answer is an event stream.
     pub is_stream: bool,
-    /// Another run that may go on with the stream while its own runner is silent.
+    /// An attempt that may take over while the main one is silent.
     pub standby: Option<AttemptNo>,
-    /// No standby is looked for before.
+    /// No standby is opened earlier.
     pub next_standby_at: Time,
 }
 
 impl RequestFlow {
+    /// A request that has not started.
     pub fn new(spec: RequestSpec) -> RequestFlow {
         let sequence = Sequence::after(spec.last_event_id.clone());
         RequestFlow {
@@ -76,12 +102,13 @@
         }
     }
 
+    /// Handles an event and returns what is to be done.
     pub fn step(&mut self, now: Time, ev: FlowEvent, balancer: &mut Balancer) -> Vec<FlowAction> {
         let mut out = Vec::new();
-        if let FlowEvent::Routed(plan) = &ev
+        if let FlowEvent::Routed(decision) = &ev
             && !std::mem::take(&mut self.is_waiting)
         {
-            self.return_unused_slot(now, plan, balancer);
+            self.return_unused_slot(now, decision, balancer);
             return out;
         }
         if self.is_over || self.is_stray(&ev) {
@@ -92,10 +119,10 @@
         }
         match ev {
             FlowEvent::Start => {
-                let plan = balancer.route_new(now, &self.spec);
-                self.apply_decision(now, plan, balancer, &mut out);
+                let decision = balancer.route_new(now, &self.spec);
+                self.apply_decision(now, decision, balancer, &mut out);
             }
-            FlowEvent::Routed(plan) => self.apply_decision(now, plan, balancer, &mut out),
+            FlowEvent::Routed(decision) => self.apply_decision(now, decision, balancer, &mut out),
             FlowEvent::Load { attempt, load } => self.on_load(now, attempt, load, balancer),
             FlowEvent::ClientGone => {
                 balancer.count("caller_gone");
@@ -107,18 +134,19 @@
         out
     }
 
+    /// Whether the event belongs to an attempt that is closed.
     fn is_stray(&self, ev: &FlowEvent) -> bool {
-        ev.attempt().is_some_and(|attempt| self.attempts.iter().all(|l| l.no != attempt))
+        ev.attempt().is_some_and(|attempt| self.attempts.iter().all(|run| run.no != attempt))
     }
 
     fn apply_decision(
         &mut self,
         now: Time,
-        plan: RoutingDecision,
+        decision: RoutingDecision,
         balancer: &mut Balancer,
         out: &mut Vec<FlowAction>,
     ) {
-        match plan {
+        match decision {
             RoutingDecision::Send(runner) => {
                 if !self.is_counted {
                     self.is_counted = true;
@@ -136,20 +164,21 @@
         self.is_waiting
     }
 
-    /// From now on the request waits for a runner.
+    /// Queues the request.
     pub fn wait_for_runner(&mut self, out: &mut Vec<FlowAction>) {
         self.is_waiting = true;
         out.push(FlowAction::Wait { avoid: self.avoid.clone() });
     }
 
-    /// A plan that came when the request no longer waited: its slot is free again.
-    fn return_unused_slot(&self, now: Time, plan: &RoutingDecision, balancer: &mut Balancer) {
-        if let RoutingDecision::Send(runner) = plan {
+    /// Frees the slot of a decision that came after the request stopped waiting.
+    fn return_unused_slot(&self, now: Time, decision: &RoutingDecision, balancer: &mut Balancer) {
+        if let RoutingDecision::Send(runner) = decision {
             balancer.count("plan_untaken");
             balancer.release_slot(now, &runner.instance, &self.spec.model, None);
         }
     }
 
+    /// Ends the request without a complete answer: broken off, outcome unknown or refused, by what has happened so far.
     pub fn refuse(&mut self, now: Time, r: Refusal, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         self.close_all(now, balancer, out);
         if self.is_answer_started {
@@ -168,6 +197,7 @@
         }
     }
 
+    /// Opens an attempt at a runner.
     pub fn open(
         &mut self,
         now: Time,
@@ -183,6 +213,7 @@
         no
     }
 
+    /// Closes an attempt; `good` is its result for the health of the runner, if it says anything.
     pub fn close(
         &mut self,
         now: Time,
@@ -191,12 +222,13 @@
         balancer: &mut Balancer,
         out: &mut Vec<FlowAction>,
     ) {
-        let Some(at) = self.attempts.iter().position(|l| l.no == attempt) else { return };
-        let l = self.attempts.remove(at);
+        let Some(at) = self.attempts.iter().position(|run| run.no == attempt) else { return };
+        let run = self.attempts.remove(at);
         out.push(FlowAction::Close { attempt });
-        balancer.release_slot(now, &l.runner.instance, &self.spec.model, good);
+        balancer.release_slot(now, &run.runner.instance, &self.spec.model, good);
     }
 
+    /// Ends the request: closes all attempts and returns what it holds at the balancer.
     pub fn close_all(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         self.is_over = true;
         self.is_waiting = false;
@@ -204,7 +236,7 @@
         self.handover = None;
         self.standby = None;
         balancer.retry_budget.return_reserved(std::mem::take(&mut self.reserved_attempts));
-        let all: Vec<AttemptNo> = self.attempts.iter().map(|l| l.no).collect();
+        let all: Vec<AttemptNo> = self.attempts.iter().map(|run| run.no).collect();
         for attempt in all {
             self.close(now, attempt, None, balancer, out);
         }
--- a/src/forwarding/resume.rs
+++ b/src/forwarding/resume.rs
@@ -1,3 +1,5 @@
+//! Continuation of a request on another runner after its attempt was lost, rejected or differed.
+
 use super::attempt::ExpectedFirst;
 use super::request::*;
 use crate::fleet::config::RouteKind;
@@ -10,28 +12,32 @@
 use crate::transfer::continuation::RunContract;
 use crate::transfer::event_buffer::StreamEvent;
 
-/// So long a request that was begun may wait for another runner.
+/// How long a request that was begun may wait for another runner.
 const RESUME_WAIT: Span = Span::ms(3000);
+/// Shortest silence before the first event that counts as a silent runner.
 const FIRST_EVENT_PATIENCE_MIN: Span = Span::ms(450);
+/// Shortest silence between events that counts as a silent runner.
 const NEXT_EVENT_PATIENCE_MIN: Span = Span::ms(1000);
 
-/// What an event of a run means for the stream that is to go on with it.
+/// What an event means for the stream it is to continue.
 pub enum ContinuationCheck {
-    /// It is passed on.
+    /// It is forwarded.
     Continues,
-    /// It is not passed on, and nothing is wrong.
+    /// It is not forwarded; nothing is wrong.
     Skip,
-    /// The run does not go on where the stream stands, as told.
+    /// The attempt does not continue where the stream stands; the text says how.
     Differs(String),
 }
 
 impl RequestFlow {
+    /// Opens the main attempt.
     pub fn open_main(&mut self, now: Time, runner: Runner, out: &mut Vec<FlowAction>) {
         self.attempts_opened += 1;
         self.main = self.open_continuation(now, runner, out);
     }
 
-    /// Opens a run that is to go on where the stream stands.
+    /// Opens an attempt that continues where the stream stands. Runners that repeat events byte for byte are asked for the last
+    /// forwarded event once more, to check that; others for the event after it.
     pub fn open_continuation(&mut self, now: Time, runner: Runner, out: &mut Vec<FlowAction>) -> AttemptNo {
         let last = self.sequence.last().map(|last| last.to_string());
         let (from, join) = match (self.spec.run_contract, &self.last_event) {
@@ -48,9 +54,9 @@
         no
     }
 
-    /// Whether an event of `attempt` goes on with the stream; asked for each event, it matters for the first.
+    /// Checks whether an event of `attempt` continues the stream; only the first one can fail.
     pub fn check_continuation(&mut self, attempt: AttemptNo, item: &StreamEvent) -> ContinuationCheck {
-        let join = self.attempt(attempt).map_or(ExpectedFirst::Any, |l| l.expected_first.clone());
+        let join = self.attempt(attempt).map_or(ExpectedFirst::Any, |run| run.expected_first.clone());
         let joined = match &join {
             ExpectedFirst::Any => return ContinuationCheck::Continues,
             ExpectedFirst::Next if item.id.is_none() => return ContinuationCheck::Skip,
@@ -67,13 +73,13 @@
                 ))
             }
         };
-        if let Some(l) = self.attempt(attempt) {
-            l.expected_first = ExpectedFirst::Any;
+        if let Some(run) = self.attempt(attempt) {
+            run.expected_first = ExpectedFirst::Any;
         }
         joined
     }
 
-    /// The run that was to go on with the stream does not: another one is asked.
+    /// The main attempt does not continue the stream: another runner is asked.
     pub fn on_main_differs(
         &mut self,
         now: Time,
@@ -92,7 +98,7 @@
         self.resume(now, runner, balancer, out);
     }
 
-    /// How long a runner of an order that may run again is waited for: to its first event, then to the next.
+    /// How long the runner of a request that may run again can be silent: until its first event, or until the next one.
     pub fn silence_limit(&self) -> Option<Span> {
         let o = &self.spec;
         let again = (o.is_resumable && !self.has_event_without_id && o.route_kind == RouteKind::Stream)
@@ -109,6 +115,7 @@
             .then(|| Span((o.target_gap.0 * 4).max(NEXT_EVENT_PATIENCE_MIN.0)))
     }
 
+    /// Handles a rejection: the runner did not execute the request.
     pub fn on_rejected(
         &mut self,
         now: Time,
@@ -133,25 +140,25 @@
                 out,
             );
         }
-        let plan = balancer.route(now, &self.spec, &self.avoid);
-        self.apply_retry_decision(now, plan, balancer, out);
+        let decision = balancer.route(now, &self.spec, &self.avoid);
+        self.apply_retry_decision(now, decision, balancer, out);
     }
 
+    /// Applies the load that a runner told in its answer.
     pub fn on_load(&mut self, now: Time, attempt: AttemptNo, load: Load, balancer: &mut Balancer) {
         if let Some(runner) = self.runner_of(attempt) {
             balancer.on_load(now, &runner, load);
         }
     }
 
-    /// Whether another runner may be asked although this one may have run the request. A stream can't be taken up
-    /// behind an event that bears no id: nothing tells the next runner, or us, where it stands.
+    /// Whether another runner may be asked although this one may have run the request. A stream cannot be continued after an
+    /// event without an id: neither the next runner nor this router could tell its place.
     pub fn may_run_again(&self) -> bool {
         (self.spec.is_resumable && !self.has_event_without_id)
             || (self.spec.route_kind == RouteKind::Idempotent && !self.is_answer_started)
     }
 
-    /// The stream's own run is over before its end, in whatever way: another one goes on. A run that stands by is
-    /// that one; while there is none, another runner is asked or waited for.
+    /// The main attempt is over early. A standby attempt takes its place; without one, another runner is asked or waited for.
     pub fn resume(&mut self, now: Time, from: Name, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         if self.promote_standby(&from, out) {
             return;
@@ -165,11 +172,11 @@
         }
         balancer.count("resumed");
         self.mark_resumed(now);
-        let plan = balancer.route(now, &self.spec, &self.avoid);
-        self.apply_retry_decision(now, plan, balancer, out);
+        let decision = balancer.route(now, &self.spec, &self.avoid);
+        self.apply_retry_decision(now, decision, balancer, out);
     }
 
-    /// From now on the request is one that was begun: it may wait longer for a runner, and is not given up early.
+    /// The request was begun: it may now wait longer for a runner and is not refused early.
     pub fn mark_resumed(&mut self, now: Time) {
         let spec = &mut self.spec;
         spec.start_deadline =
--- a/src/forwarding/role.rs
+++ b/src/forwarding/role.rs
@@ -1,4 +1,5 @@
-//! What a run of a request is for, decided once for each of its events.
+//! The role of each attempt of a request, determined anew for each of its events.
+//!
 #![deny(missing_docs)]
 
 use super::attempt::RunnerAttempt;
@@ -8,19 +9,19 @@
 use crate::transfer::event_buffer::StreamEvent;
 use bytes::Bytes;
 
-/// What a run is for.
+/// What an attempt is for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptRole {
-    /// Its answer is the client's.
+    /// Its answer goes to the client.
     Main,
-    /// It may go on with the stream of a silent run.
+    /// It may continue the stream of a silent runner.
     Standby,
     /// The stream is being moved to it.
     Destination,
 }
 
 impl RequestFlow {
-    /// What this run is for now: a switch, or the end of another run, may change it.
+    /// The current role; a switch, or the end of another attempt, may change it.
     pub fn role_of(&self, attempt: AttemptNo) -> AttemptRole {
         if self.standby == Some(attempt) {
             return AttemptRole::Standby;
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Handles an event of a run that is under way.
+    /// Handles an event of an open attempt.
     pub fn on_attempt_event(
         &mut self,
         now: Time,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// One event of a run; it may change what the run is for.
+    /// Handles one event of a stream, which may change the role of the attempt.
     fn on_item(
         &mut self,
         now: Time,
--- a/src/forwarding/standby.rs
+++ b/src/forwarding/standby.rs
@@ -1,9 +1,10 @@
-//! A second run beside a silent one.
+//! A standby attempt beside a silent one.
+//!
+//! A silent runner may be healthy: an overloaded one preempts requests and recomputes them later. So the main attempt of a
+//! stream that has begun is left open while another runner is asked to continue where the stream stands. Whichever sends the
+//! next event continues the stream, and the other attempt is closed. A standby that fails, or does not continue where
+//! the stream stands, does not affect the main attempt.
 //!
-//! A runner that is silent may be well: a crowded one puts requests back and reads them again. So the run of a stream
-//! that was begun is left alone, and another runner is asked to go on where the stream stands. Whichever gives the
-//! next event carries the stream on, and the other run is closed. A second run that fails, or does not go on where the
-//! stream stands, changes nothing for the first.
 #![deny(missing_docs)]
 
 use super::request::*;
@@ -13,11 +14,11 @@
 use crate::kernel::time::{Span, Time};
 use crate::transfer::event_buffer::StreamEvent;
 
-/// The pause between two looks for a runner to stand by.
+/// Pause between two attempts to find a standby runner.
 const STANDBY_PAUSE: Span = Span::ms(200);
 
 impl RequestFlow {
-    /// An event of the run that stands by, other than a piece of its answer.
+    /// Handles an event of the standby attempt, other than a piece of its answer.
     pub fn on_standby_event(
         &mut self,
         now: Time,
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Whether a silent run is left alone while another is asked, as a begun stream that may be resumed is.
+    /// Whether a silent main attempt is left open while another runner is asked: for a resumable stream that has begun.
     pub fn may_open_standby(&self) -> bool {
         self.is_answer_started && self.is_stream && self.spec.is_resumable && !self.has_event_without_id
     }
 
-    /// Asks another runner to go on with the stream, if there is one now and the budget allows it.
+    /// Asks another runner to continue the stream, if one is free now and the retry budget allows it.
     pub fn open_standby(
         &mut self,
         now: Time,
@@ -80,7 +81,7 @@
         self.heard_at = heard;
     }
 
-    /// An event of the run that stands by: the first one that goes on with the stream makes it the stream's own run.
+    /// Handles an event of the standby's stream: the first that continues the stream makes it the main attempt.
     pub fn on_standby_item(
         &mut self,
         now: Time,
@@ -102,6 +103,7 @@
         }
     }
 
+    /// Makes the standby the main attempt and closes the silent one.
     fn switch_to_standby(
         &mut self,
         now: Time,
@@ -120,7 +122,7 @@
         self.close(now, silent, Some(false), balancer, out);
     }
 
-    /// The stream's own run is lost: the one that stands by is the resumed one from now on, if there is one.
+    /// The main attempt is lost: the standby, if there is one, takes its place. True if so.
     pub fn promote_standby(&mut self, lost: &Name, out: &mut Vec<FlowAction>) -> bool {
         let Some(attempt) = self.standby.take() else { return false };
         self.avoid.push(lost.clone());
@@ -129,7 +131,7 @@
         true
     }
 
-    /// The run that stands by is of no use; the stream stays where it is.
+    /// Closes a standby that is of no use; the main attempt stays.
     pub fn close_standby(
         &mut self,
         now: Time,
@@ -145,7 +147,7 @@
         self.close(now, attempt, good, balancer, out);
     }
 
-    /// The stream's own run gave the next event: none has to stand by.
+    /// Closes the standby, as the main attempt has sent the next event.
     pub fn close_unneeded_standby(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         let Some(attempt) = self.standby.take() else { return };
         balancer.count("standby_not_needed");
--- a/src/forwarding/tick.rs
+++ b/src/forwarding/tick.rs
@@ -1,4 +1,4 @@
-//! The periodic check of a request: deadlines, silent or unreachable runners, and the progress of a move.
+//! The periodic check of a request: deadlines, silent runners without report, and the progress of a move.
 
 use super::request::*;
 use crate::gate::order::RefusalReason;
@@ -6,6 +6,7 @@
 use crate::kernel::time::Time;
 
 impl RequestFlow {
+    /// Checks deadlines, silence and the move in progress.
     pub fn tick(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
         let slept = now.since(self.ticked_at) > PROCESS_PAUSE && self.ticked_at != Time(0);
         self.ticked_at = now;
@@ -58,6 +59,7 @@
         }
     }
 
+    /// Refuses the request, as its deadline has passed.
     pub fn on_deadline(&mut self, now: Time, balancer: &mut Balancer) -> Vec<FlowAction> {
         let mut out = Vec::new();
         self.refuse(now, Refusal::new(RefusalReason::DeadlinePassed, 1), balancer, &mut out);
--- a/src/gate/inbox.rs
+++ b/src/gate/inbox.rs
@@ -1,17 +1,25 @@
+//! The queue of waiting requests, ordered by urgency and arrival.
+
 use super::order::{RequestSpec, RoutingDecision, Urgency};
 use std::collections::BTreeMap;
 
-/// Hands a plan to the request that waits; gives it back if that request is over. It runs under the gate's lock, on
+/// Hands a decision to the waiting request; returns it if that request is over. It runs under the lock of the balancer, on
 /// any thread, so it must neither block nor need a runtime.
 pub type WakeFn = Box<dyn FnOnce(RoutingDecision) -> Result<(), RoutingDecision> + Send>;
 
+/// A request in the queue.
 pub struct WaitingRequest {
+    /// The request.
     pub spec: RequestSpec,
+    /// Runners not to use.
     pub avoid: Vec<crate::kernel::ids::Name>,
+    /// Receives the decision.
     pub wake: WakeFn,
+    /// When it was queued.
     pub queued_at: crate::kernel::time::Time,
 }
 
+/// Waiting requests by urgency, then by arrival number.
 #[derive(Default)]
 pub struct WaitQueue {
     rows: BTreeMap<(Urgency, u64), WaitingRequest>,
@@ -19,45 +27,57 @@
 }
 
 impl WaitQueue {
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
+    /// Whether none waits.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
+    /// Queues a request behind those of the same urgency.
     pub fn add(&mut self, waiter: WaitingRequest) {
         self.last_number += 1;
         self.rows.insert((waiter.spec.urgency(), self.last_number), waiter);
     }
 
+    /// Keys in the order of service.
     pub fn keys(&self) -> Vec<(Urgency, u64)> {
         self.rows.keys().copied().collect()
     }
 
+    /// The request with this key.
     pub fn get(&self, key: &(Urgency, u64)) -> Option<&WaitingRequest> {
         self.rows.get(key)
     }
 
+    /// Removes the request with this key.
     pub fn take(&mut self, key: &(Urgency, u64)) -> Option<WaitingRequest> {
         self.rows.remove(key)
     }
 
+    /// Waiting requests for the same model and adapter that are served before this one.
     pub fn count_ahead(&self, spec: &RequestSpec) -> u64 {
-        let alike = |w: &&WaitingRequest| w.spec.model == spec.model && w.spec.adapter == spec.adapter;
-        let before = |w: &&WaitingRequest| w.spec.urgency() <= spec.urgency() && w.spec.id != spec.id;
+        let alike =
+            |waiter: &&WaitingRequest| waiter.spec.model == spec.model && waiter.spec.adapter == spec.adapter;
+        let before =
+            |waiter: &&WaitingRequest| waiter.spec.urgency() <= spec.urgency() && waiter.spec.id != spec.id;
         self.rows.values().filter(alike).filter(before).count() as u64
     }
 
+    /// The waiting requests in the order of service.
     pub fn iter(&self) -> impl Iterator<Item = &WaitingRequest> {
         self.rows.values()
     }
 
+    /// Removes a request by its id.
     pub fn remove_request(&mut self, id: u64) {
-        self.rows.retain(|_, w| w.spec.id != id);
+        self.rows.retain(|_, waiter| waiter.spec.id != id);
     }
 
+    /// Key of the last request, if it is less urgent than `than`.
     pub fn last_less_urgent(&self, than: Urgency) -> Option<(Urgency, u64)> {
         let key = self.rows.keys().next_back().copied()?;
         (key.0 > than).then_some(key)
--- a/src/gate/kept.rs
+++ b/src/gate/kept.rs
@@ -1,11 +1,14 @@
+//! An estimate of the prompt prefixes that runners have cached, from what this router sent them.
+
 use super::order::RequestSpec;
 use crate::kernel::ids::Name;
 use crate::kernel::rand::mix;
 use std::collections::{HashMap, VecDeque};
 
+/// Most prompt parts remembered for a runner.
 const MAX_PARTS_PER_RUNNER: usize = 4096;
 
-/// Which parts of prompts each runner was sent lately, for which weights.
+/// Prompt parts that each runner was sent lately, by weights.
 #[derive(Default, Debug)]
 pub struct PromptCaches {
     by_runner: HashMap<Name, RunnerPromptCache>,
@@ -17,6 +20,7 @@
     oldest_first: VecDeque<u64>,
 }
 
+/// The keys of the prompt parts: each depends on the weights and on all parts before it.
 fn keys(spec: &RequestSpec) -> impl Iterator<Item = (u64, u32)> + '_ {
     let mut at = crate::kernel::rand::hash(&spec.model, crate::kernel::rand::hash(&spec.adapter, 7));
     spec.prompt_parts.iter().map(move |(id, n)| {
@@ -26,12 +30,13 @@
 }
 
 impl PromptCaches {
-    /// Tokens of the order's leading parts that the runner is likely to keep.
+    /// Tokens of the leading prompt parts that the runner has probably cached.
     pub fn cached_tokens(&self, runner: &Name, spec: &RequestSpec) -> u32 {
         let Some(shelf) = self.by_runner.get(runner) else { return 0 };
         keys(spec).take_while(|(k, _)| shelf.tokens_by_part.contains_key(k)).map(|(_, n)| n).sum()
     }
 
+    /// Records the prompt as sent to a runner.
     pub fn record_sent(&mut self, runner: &Name, spec: &RequestSpec) {
         if spec.prompt_parts.is_empty() {
             return;
@@ -49,6 +54,7 @@
         }
     }
 
+    /// Forgets runners that are no longer listed.
     pub fn retain_runners(&mut self, listed: &dyn Fn(&Name) -> bool) {
         self.by_runner.retain(|n, _| listed(n));
     }
--- a/src/gate/learn.rs
+++ b/src/gate/learn.rs
@@ -1,3 +1,5 @@
+//! Updates of a balancer by new slices and reports.
+
 use super::core::Balancer;
 use super::wait::QUIET;
 use crate::fleet::runner::RunnerReport;
@@ -7,18 +9,20 @@
 use std::sync::Arc;
 
 impl Balancer {
+    /// Applies a report of a runner.
     pub fn on_report(&mut self, now: Time, runner: &Name, report: RunnerReport) {
         self.throughput.on_report(now, &report);
         self.health.entry(runner.clone()).or_default().on_report(now, report);
     }
 
+    /// Applies a slice of the service unless a newer one was applied.
     pub fn apply_slice(&mut self, at: Version, slice: ServiceSlice, now: Time) {
         if at < self.slice_version {
             return;
         }
         self.slice_version = at;
         self.is_withdrawn = false;
-        let old = self.slice.as_ref().map(|s| s.duty);
+        let old = self.slice.as_ref().map(|old| old.duty);
         if old.is_some_and(|t| t != slice.duty) {
             self.throughput.quiet_until = now + QUIET;
         }
--- a/src/gate/lease.rs
+++ b/src/gate/lease.rs
@@ -1,11 +1,11 @@
-//! Serving leases as the gates see them.
+//! Serving leases: topics may be served from until a lease ends, also without a recent proof.
 
 use super::table::BalancerTable;
 use crate::fleet::state::Scope;
 use crate::kernel::time::Time;
 
 impl BalancerTable {
-    /// These topics may be served by until then; requests that waited for a proof go on.
+    /// Extends the leases of these topics to `until`; requests that waited for a proof are routed.
     pub fn extend_leases(&self, now: Time, scopes: &[Scope], until: Time) {
         for scope in scopes {
             match scope {
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -1,3 +1,10 @@
+//! Admission and load balancing on a router.
+//!
+//! A [`Balancer`] stands for one service: it admits requests (`admission`), picks a runner for each (`nominate`), queues
+//! what cannot be sent yet (`inbox`, `waiters`, `wait`) and limits retries (`budget`). [`BalancerTable`] holds the
+//! balancers, the routes and the limits of the router, and applies what the distribution of the configuration delivers.
+//! The state machine of a single request is in `forwarding`; the connections are in `http`.
+
 pub mod admission;
 pub mod budget;
 pub mod core;
--- a/src/gate/nominate.rs
+++ b/src/gate/nominate.rs
@@ -1,3 +1,5 @@
+//! The choice of a runner for a request.
+
 use super::core::Balancer;
 use super::order::{Refusal, RefusalReason, RequestSpec, RoutingDecision};
 use crate::fleet::config::ServiceKind;
@@ -8,42 +10,42 @@
 use crate::kernel::rand::hash;
 use crate::kernel::time::Time;
 
-/// What another zone costs, in hundredths of a runner's slots.
+/// Cost of a runner in another zone, in percent of its slots.
 const OTHER_ZONE_COST: u64 = 10;
-/// So many prompt tokens to be read weigh like a hundredth of a runner's slots.
+/// Prompt tokens without cache that cost as much as one percent of the slots of a runner.
 const UNREAD_TOKENS_PER_PERCENT: u64 = 40;
-/// What an unread prompt weighs where its length is not known.
+/// Cost of an uncached prompt of unknown length, in percent of the slots.
 const UNKNOWN_PROMPT_COST: u64 = 50;
-/// A router compares at least so many of the runners that could take a request.
+/// Fewest candidates that a router compares.
 const MIN_COMPARED: usize = 2;
-/// Up to so many routers may each take the best of all runners without crowding it.
+/// Up to this number of routers, each may pick the best of all runners without overloading it.
 const ROUTERS_COMPARING_ALL: usize = 8;
 
 /// A runner that could take the request now.
 struct Candidate<'a> {
     runner: &'a Runner,
-    /// Prompt tokens that it would have to read.
+    /// Prompt tokens that it probably has not cached.
     unread_tokens: u64,
-    /// The lower the better.
+    /// Lower is better; in percent of its slots.
     cost: u64,
-    /// Its place in the order of this request alone.
+    /// Pseudo-random rank, different for each request.
     tie_break: u64,
 }
 
-/// What was found of the runners of a service.
+/// The usable runners of a service.
 #[derive(Default)]
 struct RunnerSurvey<'a> {
-    /// Some runner is in use at all.
+    /// Whether any runner is in use at all.
     is_any_usable: bool,
-    /// Some runner holds what is asked for.
+    /// Whether any of them holds the weights asked for.
     is_any_holder: bool,
     candidates: Vec<Candidate<'a>>,
 }
 
 impl Balancer {
-    /// Where a request goes, or why it can't go anywhere now.
+    /// Decides where a request goes, or why it can go nowhere now. Claims no slot.
     pub fn choose_runner(&mut self, now: Time, spec: &RequestSpec, avoid: &[Name]) -> RoutingDecision {
-        let Some(s) = self.slice.clone() else {
+        let Some(slice) = self.slice.clone() else {
             return RoutingDecision::Wait("service-not-known-yet");
         };
         if !self.is_fresh(now) {
@@ -55,10 +57,10 @@
         if self.is_withdrawn {
             return RoutingDecision::Refuse(Refusal::new(RefusalReason::ServiceWithdrawn, 0));
         }
-        if let Some(r) = unknown(&s, spec) {
+        if let Some(r) = unknown(&slice, spec) {
             return RoutingDecision::Refuse(r);
         }
-        let mut found = self.survey_runners(now, &s, spec, avoid);
+        let mut found = self.survey_runners(now, &slice, spec, avoid);
         match self.best_candidate(&mut found.candidates) {
             Some(best) => RoutingDecision::Send(best.runner.clone()),
             None if !found.is_any_usable => RoutingDecision::Wait("no-runner"),
@@ -70,36 +72,36 @@
     fn survey_runners<'a>(
         &self,
         now: Time,
-        s: &'a ServiceSlice,
+        slice: &'a ServiceSlice,
         spec: &RequestSpec,
         avoid: &[Name],
     ) -> RunnerSurvey<'a> {
         let mut found = RunnerSurvey::default();
         let (model, adapter) = (Name(spec.model.to_string()), Name(spec.adapter.to_string()));
-        let bare = self.has_unpolled_plain_runners && s.service.sort == ServiceKind::Plain;
-        let many_out = self.are_all_ejected(now, s);
+        let bare = self.has_unpolled_plain_runners && slice.service.sort == ServiceKind::Plain;
+        let many_out = self.are_all_ejected(now, slice);
         let unreported = RunnerReport::default();
-        for r in s.runners.iter().filter(|r| !r.leaving && !avoid.contains(&r.instance)) {
-            let Some(h) = self.health.get(&r.instance) else { continue };
-            let report = match h.fresh_report(now) {
+        for r in slice.runners.iter().filter(|r| !r.leaving && !avoid.contains(&r.instance)) {
+            let Some(health) = self.health.get(&r.instance) else { continue };
+            let report = match health.fresh_report(now) {
                 Some(report) => report,
                 None if bare => &unreported,
                 None => continue,
             };
             let other = report.instance != r.instance && !bare;
-            if h.is_leaving || other || (h.is_ejected(now) && !many_out) || h.is_full(now) {
+            if health.is_leaving || other || (health.is_ejected(now) && !many_out) || health.is_full(now) {
                 continue;
             }
             found.is_any_usable = true;
-            if s.service.sort == ServiceKind::Assistant {
+            if slice.service.sort == ServiceKind::Assistant {
                 let fit = report.has(&model) && (adapter.0.is_empty() || report.has(&adapter));
-                if !fit || makes_way(s, &r.instance, &model) {
+                if !fit || makes_way(slice, &r.instance, &model) {
                     continue;
                 }
             }
             found.is_any_holder = true;
-            let load = if bare { h.decayed_load(now) } else { h.load(now) };
-            let slots = slots_of(h, report.slots, s.service.slots);
+            let load = if bare { health.decayed_load(now) } else { health.load(now) };
+            let slots = slots_of(health, report.slots, slice.service.slots);
             if load < slots {
                 found.candidates.push(self.candidate(r, report, spec, load * 100 / slots));
             }
@@ -125,9 +127,9 @@
         Candidate { runner: r, unread_tokens: unread, cost: weight, tie_break: hash(&r.instance.0, spec.id) }
     }
 
-    /// The best of some runners drawn by lot, and of the one that has least of the prompt to read. What is known of a
-    /// runner's load is old by as much as all other routers send meanwhile: were each to take the best of all, all
-    /// would take the same. So the more routers there are, the fewer runners each of them compares.
+    /// The cheapest of a random sample and of the candidate with the most of the prompt cached. The load known of a runner is
+    /// as old as what all other routers send meanwhile: if each took the best of all, all would take the same one. So the
+    /// more routers there are, the fewer candidates each of them compares.
     fn best_candidate<'a, 'b>(&self, candidates: &'b mut [Candidate<'a>]) -> Option<&'b Candidate<'a>> {
         let share = (candidates.len() * ROUTERS_COMPARING_ALL).div_ceil(self.router_count.max(1) as usize);
         let compared = share.max(MIN_COMPARED).min(candidates.len());
@@ -137,37 +139,39 @@
         drawn.min_by_key(|c| (c.cost, c.tie_break))
     }
 
-    fn are_all_ejected(&self, now: Time, s: &ServiceSlice) -> bool {
-        let rows = s.runners.iter().filter_map(|r| self.health.get(&r.instance));
-        let bare = self.has_unpolled_plain_runners && s.service.sort == ServiceKind::Plain;
-        rows.filter(|h| bare || h.fresh_report(now).is_some()).all(|h| h.is_ejected(now))
+    fn are_all_ejected(&self, now: Time, slice: &ServiceSlice) -> bool {
+        let rows = slice.runners.iter().filter_map(|r| self.health.get(&r.instance));
+        let bare = self.has_unpolled_plain_runners && slice.service.sort == ServiceKind::Plain;
+        rows.filter(|health| bare || health.fresh_report(now).is_some()).all(|health| health.is_ejected(now))
     }
 }
 
-/// The slots of a runner as it tells them itself, else as the service states them.
-pub fn slots_of(h: &super::health::RunnerHealth, told: u64, stated: u64) -> u64 {
-    let own = [h.reported_slots, told].into_iter().find(|n| *n > 0).unwrap_or(stated);
+/// Slots of a runner: as it tells, but not more than the service states.
+pub fn slots_of(health: &super::health::RunnerHealth, told: u64, stated: u64) -> u64 {
+    let own = [health.reported_slots, told].into_iter().find(|n| *n > 0).unwrap_or(stated);
     own.min(stated).max(1)
 }
 
-pub fn unknown(s: &ServiceSlice, spec: &RequestSpec) -> Option<Refusal> {
-    if s.service.sort == ServiceKind::Plain {
+/// The refusal of a request whose model or adapter the service does not offer.
+pub fn unknown(slice: &ServiceSlice, spec: &RequestSpec) -> Option<Refusal> {
+    if slice.service.sort == ServiceKind::Plain {
         return None;
     }
     let no = Some(Refusal::new(RefusalReason::UnknownModel, 0));
-    if !s.service.models.iter().any(|m| m.0 == spec.model.as_str()) {
+    if !slice.service.models.iter().any(|m| m.0 == spec.model.as_str()) {
         return no;
     }
     if spec.adapter.is_empty() {
         return None;
     }
     let fit =
-        s.adapters.iter().any(|a| a.name.0 == spec.adapter.as_str() && a.model.0 == spec.model.as_str());
+        slice.adapters.iter().any(|a| a.name.0 == spec.adapter.as_str() && a.model.0 == spec.model.as_str());
     if fit { None } else { no }
 }
 
-pub fn makes_way(s: &ServiceSlice, runner: &Name, model: &Name) -> bool {
-    s.moves.iter().any(|m| {
+/// Whether a move takes this model away from the runner.
+pub fn makes_way(slice: &ServiceSlice, runner: &Name, model: &Name) -> bool {
+    slice.moves.iter().any(|m| {
         m.from == *runner && m.model == *model && matches!(m.phase, Phase::Warm | Phase::Unload | Phase::Want)
     })
 }
--- a/src/gate/order.rs
+++ b/src/gate/order.rs
@@ -1,3 +1,5 @@
+//! What a balancer needs to know of a request, and what it decides.
+
 use crate::fleet::config::{Class, RouteKind};
 use crate::fleet::runner::Runner;
 use crate::fleet::tenants::{Credential, TenantRank};
@@ -6,35 +8,56 @@
 use crate::transfer::continuation::RunContract;
 use compact_str::CompactString;
 
+/// A request as balancers and forwarding see it.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
+    /// Unique on this router.
     pub id: u64,
+    /// The service that its route leads to.
     pub service: Name,
+    /// Priority class of the route.
     pub class: Class,
-    /// How urgent its tenant is; it goes before the class.
+    /// Urgency of its tenant; compared before the class.
     pub rank: TenantRank,
-    /// The key that it was admitted by, and whose it was.
+    /// The key it was admitted with and the tenant of that key.
     pub credential: Option<Credential>,
+    /// Model asked for; empty for plain services.
     pub model: CompactString,
+    /// Adapter asked for, or empty.
     pub adapter: CompactString,
+    /// Client-supplied name of the prompt prefix, or empty.
     pub prefix: CompactString,
+    /// Whether another runner may continue its event stream.
     pub is_resumable: bool,
+    /// Latest time at which it may be sent to a runner.
     pub start_deadline: Time,
+    /// Latest time at which the runner may begin to answer.
     pub answer_deadline: Time,
-    /// When an answer that has begun is broken off, if its route bounds the whole of it.
+    /// Latest time for the end of an answer that has begun, if the route limits it.
     pub completion_deadline: Option<Time>,
+    /// Id of the last event the client has, if its stream is being continued.
     pub last_event_id: Option<String>,
+    /// Whether it was already being answered and now continues on another runner.
     pub is_resumed: bool,
+    /// Host of the request.
     pub host: CompactString,
+    /// Path of the request; empty if it came without a route.
     pub path: CompactString,
+    /// Version of the routes it was admitted by.
     pub routes_version: Version,
+    /// How often its route allows it to run.
     pub route_kind: RouteKind,
+    /// Most runners that may be tried.
     pub max_attempts: u64,
+    /// Target time to the first event; zero if the service states none.
     pub target_latency: Span,
+    /// Target time between events; zero if the service states none.
     pub target_gap: Span,
+    /// Expected tokens.
     pub token_counts: TokenCounts,
+    /// The prompt as a list of parts, to match it with prompts sent earlier.
     pub prompt_parts: PromptParts,
-    /// What runs of this request at different runners have in common.
+    /// What runs of this request on different runners have in common.
     pub run_contract: RunContract,
 }
 
@@ -69,35 +92,45 @@
     }
 }
 
-/// In which order requests are served: by the rank of the tenant, then by the class of the route.
+/// The order in which requests are served: by tenant rank, then by route class.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct Urgency {
+    /// Rank of the tenant.
     pub rank: TenantRank,
     pub class: Class,
 }
 
 impl RequestSpec {
-    /// Where it stands among requests that wait.
+    /// Its position relative to other waiting requests.
     pub fn urgency(&self) -> Urgency {
         Urgency { rank: self.rank, class: self.class }
     }
 }
 
+/// Parts of a prompt: a hash that identifies each, and its number of tokens.
 pub type PromptParts = std::sync::Arc<[(u64, u32)]>;
 
+/// Expected tokens of a request; zero if unknown.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct TokenCounts {
+    /// Tokens of the prompt.
     pub prompt: u32,
+    /// Tokens of the answer.
     pub output: u32,
 }
 
+/// What happens to a request.
 #[derive(Clone, Debug)]
 pub enum RoutingDecision {
+    /// It is sent to this runner, where a slot is claimed for it.
     Send(Runner),
+    /// It waits, for this reason (also a label in logs).
     Wait(&'static str),
+    /// It is refused.
     Refuse(Refusal),
 }
 
+/// Why a request is refused.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RefusalReason {
     StaleConfiguration,
@@ -118,25 +151,32 @@
     RunnersFull,
 }
 
+/// A refusal as the client sees it.
 #[derive(Clone, Debug)]
 pub struct Refusal {
+    /// The reason.
     pub reason: RefusalReason,
+    /// How long the client should wait before a retry.
     pub retry_after: Span,
 }
 
 impl Refusal {
+    /// A refusal with a retry delay in seconds.
     pub fn new(why: RefusalReason, retry_s: u64) -> Refusal {
         Refusal { reason: why, retry_after: Span::ms(retry_s * 1000) }
     }
 
+    /// A refusal with a retry delay.
     pub fn after(why: RefusalReason, wait: Span) -> Refusal {
         Refusal { reason: why, retry_after: wait }
     }
 
+    /// Seconds for the `Retry-After` header, rounded up.
     pub fn retry_s(&self) -> u64 {
         self.retry_after.0.div_ceil(1_000_000)
     }
 
+    /// The HTTP status.
     pub fn status(&self) -> u16 {
         match self.reason {
             RefusalReason::QueueFull | RefusalReason::DisplacedByHigherClass | RefusalReason::OverQuota => {
@@ -150,6 +190,7 @@
         }
     }
 
+    /// The machine-readable code, part of the API.
     pub fn code(&self) -> &'static str {
         match self.reason {
             RefusalReason::StaleConfiguration => "not-fresh",
@@ -171,6 +212,7 @@
         }
     }
 
+    /// Explanation for the client.
     pub fn text(&self) -> &'static str {
         match self.reason {
             RefusalReason::StaleConfiguration => {
--- a/src/gate/rehearse.rs
+++ b/src/gate/rehearse.rs
@@ -1,3 +1,5 @@
+//! Rehearsal of a candidate configuration: would recent requests still be served under it?
+
 use super::table::BalancerTable;
 use crate::fleet::config::{FleetConfig, ServiceKind};
 use crate::fleet::routes::RouteTable;
@@ -8,35 +10,44 @@
 use crate::kernel::time::{Clock, Time};
 use crate::msg::{RehearsalResult, RouteTraffic};
 
-fn offered(c: &FleetConfig, k: &Kept) -> Result<(), String> {
-    let Some(s) = c.service(&k.service) else { return Err(format!("service {} is not offered", k.service)) };
-    if s.sort == ServiceKind::Plain {
+/// Whether the candidate still offers what a recent request asked for.
+fn check_offered(c: &FleetConfig, k: &Kept) -> Result<(), String> {
+    let Some(svc) = c.service(&k.service) else {
+        return Err(format!("service {} is not offered", k.service));
+    };
+    if svc.sort == ServiceKind::Plain {
         return Ok(());
     }
-    if !s.models.contains(&k.model) {
+    if !svc.models.contains(&k.model) {
         return Err(format!("model {} is not offered by {}", k.model, k.service));
     }
-    let fit = |a: &Name| c.adapter(a).is_some_and(|row| row.model == k.model) && s.adapters.contains(a);
+    let fit = |a: &Name| c.adapter(a).is_some_and(|row| row.model == k.model) && svc.adapters.contains(a);
     if !k.adapter.0.is_empty() && !fit(&k.adapter) {
         return Err(format!("adapter {} is not offered with {}", k.adapter, k.model));
     }
     Ok(())
 }
 
-fn held(table: &BalancerTable, now: Time, k: &Kept) -> bool {
+/// Whether some runner holds the model.
+fn is_held(table: &BalancerTable, now: Time, k: &Kept) -> bool {
     let Some(balancer) = table.get(&k.service) else { return false };
-    let g = balancer.lock().unwrap();
-    let Some(s) = &g.slice else { return false };
-    if s.service.sort == ServiceKind::Plain {
-        return !s.runners.is_empty();
+    let balancer = balancer.lock().unwrap();
+    let Some(slice) = &balancer.slice else { return false };
+    if slice.service.sort == ServiceKind::Plain {
+        return !slice.runners.is_empty();
     }
     let holds = |r: &crate::fleet::runner::Runner| {
-        g.health.get(&r.instance).and_then(|h| h.fresh_report(now)).is_some_and(|rep| rep.has(&k.model))
+        balancer
+            .health
+            .get(&r.instance)
+            .and_then(|health| health.fresh_report(now))
+            .is_some_and(|rep| rep.has(&k.model))
     };
-    s.runners.iter().any(|r| !r.leaving && holds(r))
+    slice.runners.iter().any(|r| !r.leaving && holds(r))
 }
 
-fn gated(table: &BalancerTable, c: &FleetConfig, rows: &RouteTable, k: &Kept) -> Result<(), String> {
+/// Whether the route, the body limit, the queue and the expected wait still fit.
+fn check_route(table: &BalancerTable, c: &FleetConfig, rows: &RouteTable, k: &Kept) -> Result<(), String> {
     if k.path.is_empty() {
         return Ok(());
     }
@@ -50,24 +61,25 @@
         return Err(format!("a body of {} KB is over the route's {}", k.kb, row.route.body_kb));
     }
     let (Some(balancer), Some(new)) = (table.get(&k.service), c.service(&k.service)) else { return Ok(()) };
-    let g = balancer.lock().unwrap();
-    let waiting = g.queue.len() as u64;
+    let balancer = balancer.lock().unwrap();
+    let waiting = balancer.queue.len() as u64;
     if waiting > new.inbox {
         return Err(format!("{waiting} orders wait and the inbox would take {}", new.inbox));
     }
-    let old = g.slice.as_ref().map_or(new.slots, |s| s.service.slots);
+    let old = balancer.slice.as_ref().map_or(new.slots, |slice| slice.service.slots);
     let slower = old.max(1) as f64 / new.slots.clamp(1, old.max(1)) as f64;
-    let held = g.throughput.occupancy_us(k.model.0.as_str()).unwrap_or(0.0) * (slower - 1.0);
-    let wait = (if waiting > 0 { g.last_expected_wait.0 as f64 * slower } else { held }) / 1000.0;
+    let held = balancer.throughput.occupancy_us(k.model.0.as_str()).unwrap_or(0.0) * (slower - 1.0);
+    let wait = (if waiting > 0 { balancer.last_expected_wait.0 as f64 * slower } else { held }) / 1000.0;
     if wait > row.route.due_ms as f64 {
         return Err(format!("the wait would be {wait:.0} ms, its due is {}", row.route.due_ms));
     }
     Ok(())
 }
 
+/// Most routes reported.
 const LIVE_ROUTES_MAX: usize = 8;
 
-/// The routes of the last orders, the most used first.
+/// The routes of recent requests, the most used first.
 pub fn live(table: &BalancerTable, now: Time, seen: &[Kept]) -> Vec<RouteTraffic> {
     let mut rows: Vec<RouteTraffic> = Vec::new();
     for k in seen {
@@ -87,6 +99,7 @@
     rows
 }
 
+/// Checks recent requests against a candidate; configured samples if there were none.
 pub fn rehearse(
     table: &BalancerTable,
     clock: &dyn Clock,
@@ -96,9 +109,9 @@
     let mut out = RehearsalResult { id: trial.id, ..RehearsalResult::default() };
     let samples = trial.config.rollout.samples.iter();
     let samples: Vec<Kept> = samples
-        .map(|s| Kept {
-            service: s.service.clone(),
-            model: s.model.clone(),
+        .map(|sample| Kept {
+            service: sample.service.clone(),
+            model: sample.model.clone(),
             adapter: Name::default(),
             host: String::new(),
             path: String::new(),
@@ -110,11 +123,11 @@
     for k in rows {
         let began = clock.now();
         out.planned += 1;
-        let fit = offered(&trial.config, k).and_then(|_| gated(table, &trial.config, &routes, k));
+        let fit = check_offered(&trial.config, k).and_then(|_| check_route(table, &trial.config, &routes, k));
         if let Err(why) = fit {
             out.refused += 1;
             out.why = why;
-        } else if !held(table, began, k) {
+        } else if !is_held(table, began, k) {
             out.without_holder += 1;
         }
         out.worst_us = out.worst_us.max(clock.now().since(began).0);
--- a/src/gate/table.rs
+++ b/src/gate/table.rs
@@ -1,3 +1,5 @@
+//! All balancers of a router, with the routes, limits and quota shares that they have in common.
+
 use super::core::Balancer;
 use super::held::LoadRequester;
 use crate::constraints::shares::Shares;
@@ -9,13 +11,15 @@
 use crate::kernel::ids::*;
 use crate::kernel::registry::Service;
 use crate::kernel::time::{Span, Time};
-use crate::msg::RouterReport;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, RwLock};
 
+/// State of a router that its balancers share; every part has a lock of its own.
 pub struct BalancerTable {
+    /// The failure domain (zone) of this router.
     pub domain: Name,
     pub(super) has_unpolled_plain_runners: bool,
+    /// How long a proof that the configuration is current stays valid.
     pub freshness_limit: Span,
     balancers: RwLock<BTreeMap<Name, Arc<Mutex<Balancer>>>>,
     routes: RwLock<(Version, Time, Arc<RouteTable>)>,
@@ -25,7 +29,7 @@
     holdings: Mutex<BTreeMap<Name, RunnerHoldings>>,
     load_requester: Mutex<Option<LoadRequester>>,
     limits: Mutex<(Version, Limits)>,
-    /// What this router holds of tenants' quotas.
+    /// The share of tenants' quotas held by this router.
     pub quota: Mutex<Shares>,
 }
 
@@ -36,6 +40,7 @@
 }
 
 impl BalancerTable {
+    /// An empty table.
     pub fn new(domain: Name, proof: Span) -> BalancerTable {
         BalancerTable {
             domain,
@@ -53,12 +58,12 @@
         }
     }
 
-    /// A table of gates whose plain services have runners that don't report.
+    /// A table whose plain services have runners that send no reports.
     pub fn with_unpolled_plain_runners(domain: Name, proof: Span) -> BalancerTable {
         BalancerTable { has_unpolled_plain_runners: true, ..BalancerTable::new(domain, proof) }
     }
 
-    /// The limits on clients in the newest configuration known here.
+    /// Limits on clients in the newest configuration known here.
     pub fn limits(&self) -> Limits {
         self.limits.lock().unwrap().1.clone()
     }
@@ -70,37 +75,40 @@
         }
     }
 
+    /// All balancers.
     pub fn balancers(&self) -> Vec<Arc<Mutex<Balancer>>> {
         self.balancers.read().unwrap().values().cloned().collect()
     }
 
+    /// The balancer of a service.
     pub fn get(&self, name: &Name) -> Option<Arc<Mutex<Balancer>>> {
         self.balancers.read().unwrap().get(name).cloned()
     }
 
     fn balancer_or_new(&self, name: &Name) -> Arc<Mutex<Balancer>> {
-        if let Some(g) = self.get(name) {
-            return g;
+        if let Some(balancer) = self.get(name) {
+            return balancer;
         }
         let mut balancers = self.balancers.write().unwrap();
         let new = || {
-            let mut g = Balancer::new(name.clone(), self.domain.clone());
-            g.load_requester = self.load_requester.lock().unwrap().clone();
-            g.has_unpolled_plain_runners = self.has_unpolled_plain_runners;
-            g.freshness_limit = self.freshness_limit;
-            Arc::new(Mutex::new(g))
+            let mut balancer = Balancer::new(name.clone(), self.domain.clone());
+            balancer.load_requester = self.load_requester.lock().unwrap().clone();
+            balancer.has_unpolled_plain_runners = self.has_unpolled_plain_runners;
+            balancer.freshness_limit = self.freshness_limit;
+            Arc::new(Mutex::new(balancer))
         };
         balancers.entry(name.clone()).or_insert_with(new).clone()
     }
 
-    /// Whom gates tell of what no runner holds.
+    /// Sets who is told of weights that no runner holds.
     pub fn set_load_requester(&self, asker: LoadRequester) {
-        for g in self.balancers() {
-            g.lock().unwrap().load_requester = Some(asker.clone());
+        for balancer in self.balancers() {
+            balancer.lock().unwrap().load_requester = Some(asker.clone());
         }
         *self.load_requester.lock().unwrap() = Some(asker);
     }
 
+    /// Applies what the placement tells of runners, then retries waiting requests.
     pub fn on_holdings(&self, now: Time, rows: &[RunnerHoldings]) {
         let mut held = self.holdings.lock().unwrap();
         for row in rows {
@@ -109,34 +117,41 @@
             held.insert(row.runner.clone(), RunnerHoldings { holding, ..row.clone() });
         }
         drop(held);
-        for g in self.balancers() {
-            let mut g = g.lock().unwrap();
+        for balancer in self.balancers() {
+            let mut balancer = balancer.lock().unwrap();
             let mut any = false;
             for row in rows {
-                any |= g.on_holdings(now, row);
+                any |= balancer.on_holdings(now, row);
             }
             if any {
-                g.route_waiting(now);
+                balancer.route_waiting(now);
             }
         }
     }
 
-    /// Marked runners count as leaving before waiting orders are planned by a new slice.
-    fn mark_leaving_runners(&self, g: &mut Balancer, slice: &ServiceSlice) {
+    /// Marks runners as leaving before waiting requests are routed by a new slice.
+    fn mark_leaving_runners(&self, balancer: &mut Balancer, slice: &ServiceSlice) {
         let marks = self.leaving_runners.lock().unwrap();
         for runner in slice.runners.iter().filter(|runner| marks.contains(&runner.instance)) {
-            g.health.entry(runner.instance.clone()).or_default().is_leaving = true;
+            balancer.health.entry(runner.instance.clone()).or_default().is_leaving = true;
         }
     }
 
-    fn apply_known_holdings(&self, g: &mut Balancer, now: Time) {
+    /// Applies stored holdings to runners that are new in this balancer.
+    fn apply_known_holdings(&self, balancer: &mut Balancer, now: Time) {
         let held = self.holdings.lock().unwrap();
-        let bare: Vec<Name> = g.health.iter().filter(|h| h.1.report.is_none()).map(|h| h.0.clone()).collect();
+        let bare: Vec<Name> = balancer
+            .health
+            .iter()
+            .filter(|health| health.1.report.is_none())
+            .map(|health| health.0.clone())
+            .collect();
         for row in bare.iter().filter_map(|n| held.get(n)) {
-            g.on_holdings(now, row);
+            balancer.on_holdings(now, row);
         }
     }
 
+    /// The routes with their version, if they are known to be current.
     pub fn fresh_routes(&self, now: Time) -> Option<(Version, Arc<RouteTable>)> {
         let row = self.routes.read().unwrap();
         let fresh =
@@ -144,19 +159,23 @@
         fresh.then(|| (row.0, row.2.clone()))
     }
 
+    /// The route of a request; nothing if the routes are not known to be current.
     pub fn find_route(&self, now: Time, host: &str, path: &str) -> Option<(Version, Option<RouteRow>)> {
         let (at, rows) = self.fresh_routes(now)?;
         Some((at, rows.find(host, path).cloned()))
     }
 
+    /// The candidate configuration that is rehearsed, with the version of its topic.
     pub fn candidate(&self) -> (Version, Option<Candidate>) {
         self.candidate.lock().unwrap().clone()
     }
 
+    /// Version of the newest routes.
     pub fn routes_version(&self) -> Version {
         self.routes.read().unwrap().0
     }
 
+    /// Applies an update of a topic; without a slice it only renews the proof.
     pub fn apply_slice(&self, now: Time, scope: &Scope, at: Version, slice: Option<Slice>, proven: Time) {
         match scope {
             Scope::Routes => {
@@ -170,12 +189,12 @@
                 }
                 let (proven, rows) = (row.1, (row.0, row.2.clone()));
                 drop(row);
-                for g in self.balancers() {
-                    let mut g = g.lock().unwrap();
-                    g.routes_proven_at = proven;
-                    if g.routes.0 != rows.0 {
-                        g.routes = rows.clone();
-                        g.route_waiting(now);
+                for balancer in self.balancers() {
+                    let mut balancer = balancer.lock().unwrap();
+                    balancer.routes_proven_at = proven;
+                    if balancer.routes.0 != rows.0 {
+                        balancer.routes = rows.clone();
+                        balancer.route_waiting(now);
                     }
                 }
             }
@@ -191,44 +210,33 @@
                     let r = self.routes.read().unwrap();
                     (r.1, (r.0, r.2.clone()))
                 };
-                let mut g = balancer.lock().unwrap();
-                if at < g.slice_version {
+                let mut balancer = balancer.lock().unwrap();
+                if at < balancer.slice_version {
                     return;
                 }
-                let stale = !g.is_fresh(now);
-                g.proven_at = g.proven_at.max(proven);
-                g.routes_proven_at = g.routes_proven_at.max(routes);
-                g.routes_leased_until = *self.routes_leased_until.read().unwrap();
-                g.routes = rows;
+                let stale = !balancer.is_fresh(now);
+                balancer.proven_at = balancer.proven_at.max(proven);
+                balancer.routes_proven_at = balancer.routes_proven_at.max(routes);
+                balancer.routes_leased_until = *self.routes_leased_until.read().unwrap();
+                balancer.routes = rows;
                 match slice {
-                    Some(Slice::Service(s)) => {
-                        self.learn_limits(&s);
-                        self.mark_leaving_runners(&mut g, &s);
-                        g.apply_slice(at, *s, now);
-                        self.apply_known_holdings(&mut g, now);
-                        g.route_waiting(now);
+                    Some(Slice::Service(slice)) => {
+                        self.learn_limits(&slice);
+                        self.mark_leaving_runners(&mut balancer, &slice);
+                        balancer.apply_slice(at, *slice, now);
+                        self.apply_known_holdings(&mut balancer, now);
+                        balancer.route_waiting(now);
                     }
                     Some(Slice::Gone) => {
-                        g.is_withdrawn = true;
-                        g.slice_version = at;
-                        g.route_waiting(now);
+                        balancer.is_withdrawn = true;
+                        balancer.slice_version = at;
+                        balancer.route_waiting(now);
                     }
-                    _ if stale => g.route_waiting(now),
+                    _ if stale => balancer.route_waiting(now),
                     _ => {}
                 }
             }
             Scope::Duty => {}
         }
     }
-
-    pub fn router_report(&self, now: Time) -> RouterReport {
-        let mut out = RouterReport { routes_version: self.routes_version(), ..RouterReport::default() };
-        for g in self.balancers() {
-            g.lock().unwrap().fill_report(now, &mut out);
-        }
-        if let (_, Some(t)) = self.candidate() {
-            out.candidate_seen = t.id;
-        }
-        out
-    }
 }
--- a/src/gate/wait.rs
+++ b/src/gate/wait.rs
@@ -1,17 +1,22 @@
+//! Estimates of how long a request would wait, and refusal of those that would miss their deadline.
+
 use super::core::Balancer;
 use super::order::{Refusal, RefusalReason, RequestSpec, RoutingDecision};
 use crate::fleet::config::ServiceKind;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 
+/// Longest delay suggested to a client, in seconds.
 const RETRY_AFTER_MAX_S: u64 = 600;
 pub use crate::placement::duty::QUIET;
 
+/// Seconds to suggest to a client for a wait.
 pub fn retry_s(wait: Span) -> u64 {
     wait.0.div_ceil(1_000_000).clamp(1, RETRY_AFTER_MAX_S)
 }
 
 impl Balancer {
+    /// Estimated wait for a request that waits for reason `why` behind `ahead` others; unknown for other reasons.
     pub fn expected_wait(&self, now: Time, spec: &RequestSpec, why: &str, ahead: u64) -> Option<Span> {
         match why {
             "busy" | "behind-others" => self.expected_slot_wait(now, spec, ahead),
@@ -20,24 +25,28 @@
         }
     }
 
+    /// Estimated wait for a free slot; nothing if one is free or the model has not been measured.
+    /// From the rate at which requests of this class are sent, else from slot count, mean occupancy and the share of this router.
     pub fn expected_slot_wait(&self, now: Time, spec: &RequestSpec, ahead: u64) -> Option<Span> {
-        let s = self.slice.as_ref()?;
+        let slice = self.slice.as_ref()?;
         let held = self.throughput.occupancy_us(&spec.model)?;
         let (mut slots, mut mine, mut all, mut free) = (0, 0, 0, 0);
-        for r in s.runners.iter().filter(|r| !r.leaving) {
-            let Some(h) = self.health.get(&r.instance).filter(|h| !h.is_leaving && !h.is_ejected(now)) else {
+        for r in slice.runners.iter().filter(|r| !r.leaving) {
+            let Some(health) =
+                self.health.get(&r.instance).filter(|health| !health.is_leaving && !health.is_ejected(now))
+            else {
                 continue;
             };
-            let Some(report) = h.fresh_report(now) else { continue };
+            let Some(report) = health.fresh_report(now) else { continue };
             let fit = |n: &str| n.is_empty() || report.holds.iter().any(|x| x.0 == n);
-            if s.service.sort == ServiceKind::Assistant && !(fit(&spec.model) && fit(&spec.adapter)) {
+            if slice.service.sort == ServiceKind::Assistant && !(fit(&spec.model) && fit(&spec.adapter)) {
                 continue;
             }
-            let most = report.slots.min(s.service.slots).max(1);
+            let most = report.slots.min(slice.service.slots).max(1);
             slots += most;
-            free += most.saturating_sub(h.load(now));
-            mine += h.own_requests;
-            all += h.own_requests + h.other_requests;
+            free += most.saturating_sub(health.load(now));
+            mine += health.own_requests;
+            all += health.own_requests + health.other_requests;
         }
         if slots == 0 || free > 0 {
             return None;
@@ -50,22 +59,24 @@
         Some(Span((held * (ahead + 1) as f64 / (slots as f64 * share)) as u64))
     }
 
+    /// Estimated wait until the weights are loaded: the quiet time of a new duty holder, then the load itself or the queue of
+    /// loads before it at the store.
     fn expected_load_wait(&self, now: Time, spec: &RequestSpec) -> Span {
         let quiet = self.throughput.quiet_until.since(now);
-        let Some(s) = &self.slice else { return quiet };
+        let Some(slice) = &self.slice else { return quiet };
         let held = |n: &str| {
-            self.health.values().any(|h| h.fresh_report(now).is_some_and(|r| r.has(&Name::from(n))))
+            self.health.values().any(|health| health.fresh_report(now).is_some_and(|r| r.has(&Name::from(n))))
         };
         let loading = |n: &str| {
             self.health
                 .values()
-                .any(|h| h.fresh_report(now).is_some_and(|r| r.loading.iter().any(|x| x.0 == n)))
+                .any(|health| health.fresh_report(now).is_some_and(|r| r.loading.iter().any(|x| x.0 == n)))
         };
         let load = |n: &str| {
             if n.is_empty() || held(n) {
                 return Span(0);
             }
-            Span::ms(s.load_ms(&Name::from(n)))
+            Span::ms(slice.load_ms(&Name::from(n)))
         };
         let own = load(&spec.model) + load(&spec.adapter);
         if loading(&spec.model) || loading(&spec.adapter) {
@@ -78,10 +89,11 @@
                 before += 1;
             }
         }
-        let line = before.saturating_sub(s.store.burst) * 60_000 / s.store.loads_per_minute.max(1);
+        let line = before.saturating_sub(slice.store.burst) * 60_000 / slice.store.loads_per_minute.max(1);
         quiet + (own + Span::ms(line)).max(self.throughput.remaining_load_time(now, &spec.model))
     }
 
+    /// A refusal if the estimated wait exceeds the start deadline. Requests that were begun are never refused early.
     pub fn refuse_hopeless_wait(
         &mut self,
         now: Time,
@@ -101,28 +113,29 @@
         Some(Refusal::new(RefusalReason::WaitTooLong, retry_s(wait)))
     }
 
+    /// Turns a decision to wait into a refusal where the wait is hopeless.
     pub fn refuse_if_hopeless(
         &mut self,
         now: Time,
         spec: &RequestSpec,
-        plan: RoutingDecision,
+        decision: RoutingDecision,
         ahead: u64,
     ) -> RoutingDecision {
-        let RoutingDecision::Wait(why) = plan else { return plan };
+        let RoutingDecision::Wait(why) = decision else { return decision };
         match self.refuse_hopeless_wait(now, spec, why, ahead) {
             Some(r) => RoutingDecision::Refuse(r),
             None => RoutingDecision::Wait(why),
         }
     }
 
+    /// Records that a request wants its model and adapter.
     pub fn record_demand(&mut self, now: Time, spec: &RequestSpec) {
         for name in [&spec.model, &spec.adapter] {
             if !name.is_empty() {
                 self.demand.entry(name.to_string()).or_default().insert(spec.id, now);
-                let held = self
-                    .health
-                    .values()
-                    .any(|h| h.fresh_report(now).is_some_and(|r| r.has(&Name::from(name.as_str()))));
+                let held = self.health.values().any(|health| {
+                    health.fresh_report(now).is_some_and(|r| r.has(&Name::from(name.as_str())))
+                });
                 if !held {
                     self.throughput.record_missing(now, name);
                 }
--- a/src/gate/waiters.rs
+++ b/src/gate/waiters.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a runner: taking them in, planning for them again, and handing the plans over.
+//! Requests that wait for a runner: queueing them, routing them again, and handing over the decisions.
 
 use super::core::{Balancer, NO_RUNNER_WAIT, STALE_CONFIG_WAIT};
 use super::inbox::{WaitingRequest, WakeFn};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 impl Balancer {
-    /// Takes back the slot that [`Gate::take`] counted, without a word on how the runner did.
+    /// Frees a slot that [`Balancer::claim_slot`] counted, with no effect on the health of the runner.
     pub(super) fn return_slot(&mut self, runner: &Name, model: &str) {
         let key = (runner.clone(), Name(model.to_string()));
         if let Some(n) = self.active_requests.get_mut(&key) {
@@ -18,22 +18,22 @@
                 self.active_requests.remove(&key);
             }
         }
-        let h = self.health.entry(runner.clone()).or_default();
-        h.own_requests = h.own_requests.saturating_sub(1);
+        let health = self.health.entry(runner.clone()).or_default();
+        health.own_requests = health.own_requests.saturating_sub(1);
     }
 
-    /// Hands a plan to a waiter that was taken out; the slot of a plan that nobody takes is free again.
-    fn deliver(&mut self, waiter: WaitingRequest, plan: RoutingDecision) {
-        if let Err(RoutingDecision::Send(runner)) = (waiter.wake)(plan) {
+    /// Hands a decision to a request taken from the queue; frees the slot if the request is already over.
+    fn deliver(&mut self, waiter: WaitingRequest, decision: RoutingDecision) {
+        if let Err(RoutingDecision::Send(runner)) = (waiter.wake)(decision) {
             self.count("plan_untaken");
             self.return_slot(&runner.instance, &waiter.spec.model);
         }
     }
 
-    /// Lets a request wait for a runner; `wake` is told the plan once there is one.
+    /// Queues a request; `wake` receives the decision. A full queue displaces its least urgent request, or refuses this one.
     pub fn wait(&mut self, now: Time, spec: RequestSpec, avoid: Vec<Name>, wake: WakeFn) {
         let waiter = WaitingRequest { spec, avoid, wake, queued_at: now };
-        let most = self.slice.as_ref().map_or(256, |s| s.service.inbox) as usize;
+        let most = self.slice.as_ref().map_or(256, |slice| slice.service.inbox) as usize;
         if self.queue.len() >= most {
             let ahead = self.queue.count_ahead(&waiter.spec);
             let wait = self.expected_slot_wait(now, &waiter.spec, ahead).unwrap_or(Span::ms(2000));
@@ -44,10 +44,10 @@
                     RoutingDecision::Refuse(Refusal::new(RefusalReason::QueueFull, retry_s(wait))),
                 );
             };
-            if let Some(w) = self.queue.take(&key) {
+            if let Some(waiter) = self.queue.take(&key) {
                 self.count("refused_crowded");
                 self.deliver(
-                    w,
+                    waiter,
                     RoutingDecision::Refuse(Refusal::new(
                         RefusalReason::DisplacedByHigherClass,
                         retry_s(wait),
@@ -58,28 +58,28 @@
         self.queue.add(waiter);
     }
 
-    /// Plans again for all that wait, the most urgent first.
+    /// Decides again on all waiting requests, the most urgent first.
     pub fn route_waiting(&mut self, now: Time) {
         let mut busy: BTreeMap<(String, String), (u64, &'static str)> = BTreeMap::new();
         for key in self.queue.keys() {
-            let Some(w) = self.queue.get(&key) else { continue };
-            let (spec, avoid, since) = (w.spec.clone(), w.avoid.clone(), w.queued_at);
+            let Some(waiter) = self.queue.get(&key) else { continue };
+            let (spec, avoid, since) = (waiter.spec.clone(), waiter.avoid.clone(), waiter.queued_at);
             let kind = (spec.model.to_string(), spec.adapter.to_string());
-            let plan = match busy.get_mut(&kind) {
+            let decision = match busy.get_mut(&kind) {
                 Some((ahead, why)) if now < spec.start_deadline => {
                     *ahead += 1;
                     let (ahead, why) = (*ahead - 1, *why);
                     self.refuse_if_hopeless(now, &spec, RoutingDecision::Wait(why), ahead)
                 }
                 _ => {
-                    let plan = self.route(now, &spec, &avoid);
-                    if let RoutingDecision::Wait(why @ ("busy" | "no-holder" | "behind-others")) = plan {
+                    let decision = self.route(now, &spec, &avoid);
+                    if let RoutingDecision::Wait(why @ ("busy" | "no-holder" | "behind-others")) = decision {
                         busy.insert(kind, (1, why));
                     }
-                    self.refuse_if_hopeless(now, &spec, plan, 0)
+                    self.refuse_if_hopeless(now, &spec, decision, 0)
                 }
             };
-            let plan = match plan {
+            let decision = match decision {
                 RoutingDecision::Wait("not-fresh") if now.since(since) > STALE_CONFIG_WAIT => {
                     RoutingDecision::Refuse(Refusal::new(RefusalReason::StaleConfiguration, 1))
                 }
@@ -90,10 +90,10 @@
                     RoutingDecision::Refuse(Refusal::new(RefusalReason::Stopping, 1))
                 }
                 RoutingDecision::Wait(_) => continue,
-                plan => plan,
+                decision => decision,
             };
-            if let Some(w) = self.queue.take(&key) {
-                self.deliver(w, plan);
+            if let Some(waiter) = self.queue.take(&key) {
+                self.deliver(waiter, decision);
             }
         }
     }
--- a/src/transfer/continuation.rs
+++ b/src/transfer/continuation.rs
@@ -1,20 +1,21 @@
-//! How two runs of one request relate, and whether an event of one may follow the events of the other.
+//! Whether an event of one run of a request may follow the events of another run.
+//!
 #![deny(missing_docs)]
 
 use super::event_buffer::StreamEvent;
 
-/// What runners promise of two runs of the same request.
+/// What runners guarantee about two runs of the same request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum RunContract {
-    /// Every run gives the same events, byte for byte.
+    /// All runs produce the same events, byte for byte.
     #[default]
     SameEvents,
-    /// Every run has content of its own: an event's id alone tells its place in the stream.
+    /// Each run has content of its own; only the id of an event gives its place in the stream.
     SameIds,
 }
 
 impl RunContract {
-    /// Whether two events of different runs stand at the same place of the stream.
+    /// Whether two events of different runs have the same place in the stream.
     pub fn is_same_place(self, one: &StreamEvent, other: &StreamEvent) -> bool {
         match self {
             RunContract::SameEvents => one == other,
@@ -22,34 +23,34 @@
         }
     }
 
-    /// Whether an event has a place that other runs have too; comments and the like have none.
+    /// Whether the event has a place that other runs have too. Comments, for example, have none.
     pub fn has_place(self, item: &StreamEvent) -> bool {
         self == RunContract::SameEvents || item.id.is_some()
     }
 }
 
-/// The ids of a stream so far, from which the next one can be told.
+/// The ids of a stream so far, from which the next one is predicted.
 #[derive(Clone, Default, Debug)]
 pub struct Sequence {
     last: Option<String>,
-    /// The largest distance between two ids in a row, where ids are numbers.
+    /// Largest distance between consecutive ids, where ids are numbers.
     stride: Option<u64>,
-    /// Whether `stride` was taken from two ids; else from the first id alone, as ids count from 0.
+    /// Whether `stride` comes from two ids; else from the first id alone, counting from 0.
     measured: bool,
 }
 
 impl Sequence {
-    /// A stream that goes on after `last`, or from its beginning.
+    /// A stream that continues after `last`, or starts.
     pub fn after(last: Option<String>) -> Sequence {
         Sequence { last, ..Sequence::default() }
     }
 
-    /// The id of the newest event.
+    /// Id of the newest event.
     pub fn last(&self) -> Option<&str> {
         self.last.as_deref()
     }
 
-    /// Takes in the id of an event that was passed on.
+    /// Adds the id of an event that was forwarded.
     pub fn push(&mut self, id: &str) {
         if let Some(distance) = self.distance(id) {
             let known = self.stride.filter(|_| self.measured).unwrap_or(0);
@@ -59,7 +60,7 @@
         self.last = Some(id.to_string());
     }
 
-    /// Whether an event with `id` goes on where the stream stands: nothing twice and nothing left out.
+    /// Whether an event with `id` continues the stream: nothing repeated and nothing skipped.
     pub fn is_next(&self, id: &str) -> bool {
         let Some(last) = self.last() else { return true };
         if last.parse::<u64>().is_err() && id.parse::<u64>().is_err() {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// How far `id` lies behind the newest one, if both are numbers and it does; ids count from 0.
+    /// Distance from the newest id, if both are numbers and `id` is greater; ids count from 0.
     fn distance(&self, id: &str) -> Option<u64> {
         let last = self.last.as_deref().map_or(Some(0), |last| last.parse().ok())?;
         let id: u64 = id.parse().ok()?;
--- a/src/transfer/event_boundary.rs
+++ b/src/transfer/event_boundary.rs
@@ -1,7 +1,8 @@
-//! Where a stream of events stands: between two events or within one.
+//! Where a stream of events stands: between two events or inside one.
+//!
 #![deny(missing_docs)]
 
-/// Follows a stream byte by byte and keeps none of it.
+/// Follows a stream byte by byte without storing it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct EventBoundary {
     is_line_empty: bool,
@@ -16,7 +17,7 @@
 }
 
 impl EventBoundary {
-    /// Takes in the next bytes.
+    /// Processes the next bytes.
     pub fn add(&mut self, bytes: &[u8]) {
         for byte in bytes {
             match byte {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Whether the stream has had an event and stands behind a whole one: an honest end may be here.
+    /// Whether at least one event has come and none is incomplete: a regular end is possible here.
     pub fn may_end(&self) -> bool {
         self.events > 0 && !self.is_within_event
     }
--- a/src/transfer/event_buffer.rs
+++ b/src/transfer/event_buffer.rs
@@ -1,18 +1,23 @@
+//! Splitting of a server-sent event stream into events.
+
 use bytes::{Bytes, BytesMut};
 
+/// An event of a stream.
 #[derive(Clone, PartialEq, Debug)]
 pub struct StreamEvent {
+    /// Its id, if it has one.
     pub id: Option<String>,
+    /// Its bytes, with the empty line that ends it.
     pub raw: Bytes,
 }
 
 impl StreamEvent {
-    /// Whether it brings the client something, as a comment does not.
+    /// Whether it carries data, unlike a comment.
     pub fn has_data(&self) -> bool {
         self.raw.split(|b| *b == b'\n').any(|line| line.starts_with(b"data"))
     }
 
-    /// How another event of the same place differs, without any of the caller's content: for the log.
+    /// How another event at the same place differs, for the log: names and lengths, no content of the client.
     pub fn difference(&self, other: &StreamEvent) -> String {
         let name = |item: &StreamEvent| item.id.clone().unwrap_or_else(|| "none".into());
         let (mine, theirs) = (&self.raw, &other.raw);
@@ -30,24 +35,27 @@
     }
 }
 
-/// The names of the lines of an event, in order.
+/// The field names of an event, in order.
 fn field_names(raw: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(raw);
     let lines = text.lines().filter(|line| !line.is_empty());
     lines.map(|line| line.split(':').next().unwrap_or("").chars().take(FIELD_NAME_MAX).collect()).collect()
 }
 
-/// So much of a field's name is logged.
+/// Longest part of a field name that is logged, in characters.
 const FIELD_NAME_MAX: usize = 24;
 
+/// Collects bytes until an event is complete.
 #[derive(Default)]
 pub struct EventSplitter {
     buffered: BytesMut,
 }
 
+/// Longest event, in bytes.
 pub const EVENT_MAX: usize = 1 << 20;
 
 impl EventSplitter {
+    /// Adds bytes and returns the events that are now complete.
     pub fn push(&mut self, chunk: &[u8]) -> Vec<StreamEvent> {
         self.buffered.extend_from_slice(chunk);
         let mut out = Vec::new();
@@ -58,15 +66,18 @@
         out
     }
 
+    /// Whether the incomplete event exceeds [`EVENT_MAX`].
     pub fn is_event_too_long(&self) -> bool {
         self.buffered.len() > EVENT_MAX
     }
 
+    /// Takes the bytes of the incomplete event.
     pub fn take_rest(&mut self) -> Bytes {
         self.buffered.split().freeze()
     }
 }
 
+/// The length of the first event: to the end of the empty line after it.
 fn gap(raw: &[u8]) -> Option<usize> {
     let mut at = 0;
     while at < raw.len() {
--- a/src/transfer/handover.rs
+++ b/src/transfer/handover.rs
@@ -1,3 +1,10 @@
+//! The move of a running event stream from a source runner to a destination.
+//!
+//! In warm rounds the destination produces the stream from the last forwarded event on and catches up, while the source still
+//! serves the client. When the gap is small enough, the cut begins: events of the source are held back until the
+//! destination's first event matches them; then the destination continues. If anything differs, fails or takes too long, the
+//! held-back events are forwarded and the source keeps the stream.
+
 use super::continuation::RunContract;
 use super::event_buffer::StreamEvent;
 use crate::fleet::config::Moving;
@@ -5,28 +12,45 @@
 use crate::kernel::time::{Span, Time};
 use std::collections::VecDeque;
 
+/// Stage of a move.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum HandoverStage {
+    /// The destination catches up.
     Warm,
+    /// Events of the source are held back until the destination continues.
     Cut,
 }
 
+/// What is to be done for a move.
 #[derive(PartialEq, Debug)]
 pub enum HandoverAction {
+    /// Forward an event to the client.
     Forward(StreamEvent),
+    /// Open the destination after this event; `is_cut` for the cut.
     Open { last_event_id: Option<String>, is_cut: bool },
+    /// Close the attempt at the destination.
     CloseDestination,
+    /// The destination continues the stream; the source is closed.
     Switch,
+    /// The move failed for this reason; the source keeps the stream.
     Abort(&'static str),
+    /// The source has finished; there is nothing left to move.
     Abandon,
 }
 
+/// A move in progress.
 pub struct Handover {
+    /// The move in the placement's plan.
     pub id: MoveId,
+    /// The destination.
     pub to: Name,
+    /// Its stage.
     pub stage: HandoverStage,
+    /// Number of the round, from 1.
     pub round: u64,
+    /// Duration of each finished round in milliseconds.
     pub rounds_ms: Vec<u64>,
+    /// Events by which the destination was behind at the end of each round.
     pub gaps: Vec<u64>,
     limits: Moving,
     contract: RunContract,
@@ -35,11 +59,14 @@
     matched: u64,
     held_back: VecDeque<StreamEvent>,
     round_began_at: Time,
+    /// When it began.
     pub began_at: Time,
+    /// Whether the retry budget allows another warm round.
     pub has_credit: bool,
 }
 
 impl Handover {
+    /// Begins a move after the event `last`; returns the actions of the first round.
     pub fn new(
         id: MoveId,
         to: Name,
@@ -67,7 +94,7 @@
         (h, vec![HandoverAction::Open { last_event_id: last, is_cut: false }])
     }
 
-    /// An event of the source. One without a place is passed on as it comes.
+    /// Handles an event of the source. One without a place is forwarded as it comes.
     pub fn on_source_event(&mut self, now: Time, item: StreamEvent) -> Vec<HandoverAction> {
         if !self.contract.has_place(&item) {
             return vec![HandoverAction::Forward(item)];
@@ -86,7 +113,7 @@
         }
     }
 
-    /// An event of the destination; only those with a place count before the cut.
+    /// Handles an event of the destination; those without a place are ignored.
     pub fn on_destination_event(&mut self, now: Time, item: StreamEvent) -> Vec<HandoverAction> {
         if !self.contract.has_place(&item) {
             return vec![];
@@ -102,12 +129,14 @@
         }
     }
 
+    /// Ends the round once the destination has matched an event, and begins the next one or the cut.
     fn compare_warm(&mut self, now: Time) -> Vec<HandoverAction> {
         while let (Some(a), Some(b)) =
             (self.from_source.get(self.matched as usize), self.from_destination.front())
         {
             if !self.contract.is_same_place(a, b) {
-                return self.abort("the destination's event differs from the source's of the same place");
+                return self
+                    .abort("an event of the destination differs from the source's event at the same place");
             }
             self.matched += 1;
             self.from_destination.pop_front();
@@ -133,6 +162,7 @@
         ]
     }
 
+    /// Switches once the destination's first event matches the first one held back.
     fn compare_cut(&mut self) -> Vec<HandoverAction> {
         let (Some(a), Some(b)) = (self.held_back.front(), self.from_destination.front()) else {
             return vec![];
@@ -146,10 +176,12 @@
         out
     }
 
+    /// Forwards the events held back.
     fn release_held_back(&mut self) -> Vec<HandoverAction> {
         self.held_back.drain(..).map(HandoverAction::Forward).collect()
     }
 
+    /// Ends the move; the source keeps the stream.
     fn abort(&mut self, why: &'static str) -> Vec<HandoverAction> {
         let mut out = vec![HandoverAction::CloseDestination];
         out.extend(self.release_held_back());
@@ -157,6 +189,7 @@
         out
     }
 
+    /// The source has ended regularly.
     pub fn on_source_end(&mut self) -> Vec<HandoverAction> {
         let mut out = vec![HandoverAction::CloseDestination];
         out.extend(self.release_held_back());
@@ -164,6 +197,7 @@
         out
     }
 
+    /// The source has failed.
     pub fn on_source_failed(&mut self) -> Vec<HandoverAction> {
         let mut out = vec![HandoverAction::CloseDestination];
         out.extend(self.release_held_back());
@@ -171,10 +205,12 @@
         out
     }
 
+    /// The destination has failed.
     pub fn on_destination_failed(&mut self, why: &'static str) -> Vec<HandoverAction> {
         self.abort(why)
     }
 
+    /// The destination has ended, too early if it sent no event.
     pub fn on_destination_end(&mut self) -> Vec<HandoverAction> {
         if self.from_destination.is_empty() {
             return self.abort("the destination ended before its first event");
@@ -182,14 +218,16 @@
         vec![]
     }
 
+    /// The plan no longer contains the move.
     pub fn on_plan_withdrawn(&mut self) -> Vec<HandoverAction> {
         self.abort("the plan was withdrawn")
     }
 
+    /// Aborts the move if its round takes too long.
     pub fn tick(&mut self, now: Time) -> Vec<HandoverAction> {
         let most = if self.stage == HandoverStage::Cut { self.limits.cut_ms } else { self.limits.round_ms };
         if now.since(self.round_began_at) > Span::ms(most) {
-            return self.abort("a round took longer than its allowance");
+            return self.abort("the round exceeded its time limit");
         }
         vec![]
     }
