--- a/src/constraints/answers.rs
+++ b/src/constraints/answers.rs
@@ -1,4 +1,5 @@
-//! The answers that an owner gave, for questions that are sent again.
+//! The answers that an owner gave, to repeat them for requests that are sent again.
+//!
 #![deny(missing_docs)]
 
 use super::messages::{AcquireKey, GrantedRow};
@@ -6,52 +7,52 @@
 use crate::kernel::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// How long an answer is kept. A router gives a question up long before.
+/// How long an answer is kept. A router gives up a request long before.
 const ANSWER_KEPT: Span = Span::ms(5000);
 
 struct GivenAnswer {
     key: AcquireKey,
     rows: Vec<GrantedRow>,
-    given: Time,
+    given_at: Time,
 }
 
-/// What a question is to this owner.
-pub enum Question {
+/// Whether an acquire request is new to this owner.
+pub enum AcquireStatus {
     /// Not answered yet.
     New,
-    /// Answered so before.
+    /// Already answered, with these rows.
     Repeated(Vec<GrantedRow>),
-    /// Older than one that was answered; the router waits for it no more.
+    /// Older than one that was answered; the router no longer waits for it.
     Outdated,
 }
 
-/// The newest answer to each router. A router has one question under way at each owner.
+/// The newest answer to each router. A router has at most one request in progress at each owner.
 #[derive(Default)]
 pub struct GivenAnswers {
     by_router: BTreeMap<NodeId, GivenAnswer>,
 }
 
 impl GivenAnswers {
-    /// Whether a question was answered.
-    pub fn judge(&self, router: NodeId, key: AcquireKey) -> Question {
+    /// Whether a request was answered already.
+    pub fn classify(&self, router: NodeId, key: AcquireKey) -> AcquireStatus {
         match self.by_router.get(&router) {
-            Some(last) if last.key == key => Question::Repeated(last.rows.clone()),
-            Some(last) if key < last.key => Question::Outdated,
-            _ => Question::New,
+            Some(last) if last.key == key => AcquireStatus::Repeated(last.rows.clone()),
+            Some(last) if key < last.key => AcquireStatus::Outdated,
+            _ => AcquireStatus::New,
         }
     }
 
-    /// Notes an answer.
+    /// Records an answer.
     pub fn add(&mut self, router: NodeId, key: AcquireKey, rows: Vec<GrantedRow>, given: Time) {
-        self.by_router.insert(router, GivenAnswer { key, rows, given });
+        self.by_router.insert(router, GivenAnswer { key, rows, given_at: given });
     }
 
-    /// Drops what no repeat may still ask for.
+    /// Drops answers that can no longer be asked for again.
     pub fn sweep(&mut self, now: Time) {
-        self.by_router.retain(|_, answer| now.since(answer.given) < ANSWER_KEPT);
+        self.by_router.retain(|_, answer| now.since(answer.given_at) < ANSWER_KEPT);
     }
 
-    /// How many are kept.
+    /// Number of answers kept.
     pub fn len(&self) -> usize {
         self.by_router.len()
     }
--- a/src/constraints/client.rs
+++ b/src/constraints/client.rs
@@ -1,7 +1,8 @@
-//! The router's side: asks the owners for tokens, one question at a time at each of them.
+//! The router side: acquires tokens from the owners, with one request in progress at each of them.
+//!
 #![deny(missing_docs)]
 
-use super::flight::Flight;
+use super::flight::PendingAcquire;
 use super::messages::{Acquire, AcquireKey, AcquireRow, ConstraintMsg, GrantedRow};
 use super::ownership::owner_of;
 use super::settings::QuotaSettings;
@@ -13,14 +14,13 @@
 use crate::msg::{Effect, Event, JournalEvent, Msg};
 use std::collections::BTreeMap;
 
-/// How long a node that doesn't own, or not yet, is not asked.
+/// How long a node that is not, or not yet, the owner is not asked.
 const NOT_OWNER_PAUSE: Span = Span::ms(100);
-/// How soon the rest of what was asked for is asked for again.
+/// Pause before tokens that an owner could not grant yet are requested again.
 const REST_PAUSE: Span = Span::ms(200);
-/// A second in microseconds.
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
-/// What is to be asked for.
+/// Tokens to request for a tenant.
 #[derive(Clone, Copy, Default, Debug)]
 struct Wanted {
     needed: u32,
@@ -38,24 +38,24 @@
     wait_sum: Span,
 }
 
-/// Component of the routers.
+/// Component of the routers that acquires quota tokens.
 pub struct QuotaClient {
     settings: QuotaSettings,
     wanted: BTreeMap<Name, Wanted>,
-    flights: BTreeMap<NodeId, Flight>,
-    paused: BTreeMap<NodeId, Time>,
+    pending_requests: BTreeMap<NodeId, PendingAcquire>,
+    paused_until: BTreeMap<NodeId, Time>,
     last_key: AcquireKey,
     counts: Counts,
 }
 
 impl QuotaClient {
-    /// A client that has asked for nothing.
+    /// A client with nothing to request.
     pub fn new(settings: QuotaSettings) -> QuotaClient {
         QuotaClient {
             settings,
             wanted: BTreeMap::new(),
-            flights: BTreeMap::new(),
-            paused: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
+            paused_until: BTreeMap::new(),
             last_key: AcquireKey::default(),
             counts: Counts::default(),
         }
@@ -63,7 +63,7 @@
 
     fn add(&mut self, demand: &QuotaDemand) {
         let lease = self.settings.grant_lease().0;
-        let ahead = (u64::from(demand.last_second) * lease / SECOND) as u32;
+        let ahead = (u64::from(demand.last_second) * lease / SECOND_US) as u32;
         if demand.needed == 0 && ahead == 0 {
             return;
         }
@@ -72,14 +72,14 @@
         wanted.ahead = ahead;
     }
 
-    /// Asks each owner that has no question under way for all that is wanted of it.
+    /// Sends each owner without a request in progress one request for all that is wanted of it.
     fn ask(&mut self, ctx: &mut Context) {
         let Some(view) = ctx.views.view.clone() else { return };
         let mut questions: BTreeMap<NodeId, Vec<AcquireRow>> = BTreeMap::new();
         for (tenant, wanted) in &self.wanted {
             let Some(owner) = owner_of(&view, tenant) else { continue };
-            let pauses = self.paused.get(&owner).is_some_and(|until| ctx.now < *until);
-            if !pauses && ctx.now >= wanted.not_before && !self.flights.contains_key(&owner) {
+            let pauses = self.paused_until.get(&owner).is_some_and(|until| ctx.now < *until);
+            if !pauses && ctx.now >= wanted.not_before && !self.pending_requests.contains_key(&owner) {
                 let Wanted { needed, ahead, .. } = *wanted;
                 questions.entry(owner).or_default().push(AcquireRow {
                     tenant: tenant.clone(),
@@ -99,23 +99,23 @@
     fn send(&mut self, owner: NodeId, rows: Vec<AcquireRow>, ctx: &mut Context) {
         self.last_key.0 += 1;
         self.counts.asked += 1;
-        let question = Acquire { key: self.last_key, rows };
-        self.flights.insert(owner, Flight::new(question.clone(), ctx.now));
-        ctx.send(owner, Msg::Constraint(ConstraintMsg::Acquire(question)));
+        let request = Acquire { key: self.last_key, rows };
+        self.pending_requests.insert(owner, PendingAcquire::new(request.clone(), ctx.now));
+        ctx.send(owner, Msg::Constraint(ConstraintMsg::Acquire(request)));
     }
 
-    fn take_flight(&mut self, owner: NodeId, key: AcquireKey) -> Option<Flight> {
-        self.flights.get(&owner).filter(|flight| flight.key() == key)?;
-        self.flights.remove(&owner)
+    fn take_pending(&mut self, owner: NodeId, key: AcquireKey) -> Option<PendingAcquire> {
+        self.pending_requests.get(&owner).filter(|pending| pending.key() == key)?;
+        self.pending_requests.remove(&owner)
     }
 
-    fn granted(&mut self, owner: NodeId, key: AcquireKey, rows: &[GrantedRow], ctx: &mut Context) {
-        let Some(flight) = self.take_flight(owner, key) else { return };
+    fn on_granted(&mut self, owner: NodeId, key: AcquireKey, rows: &[GrantedRow], ctx: &mut Context) {
+        let Some(pending) = self.take_pending(owner, key) else { return };
         self.counts.answered += 1;
-        let wait = flight.age(ctx.now);
+        let wait = pending.age(ctx.now);
         self.counts.wait_most = self.counts.wait_most.max(wait);
         self.counts.wait_sum = self.counts.wait_sum + wait;
-        let valid_until = flight.valid_until(self.settings.grant_lease());
+        let valid_until = pending.valid_until(self.settings.grant_lease());
         let grant = |row: &GrantedRow| Grant {
             tenant: row.tenant.clone(),
             tokens: row.tokens,
@@ -124,12 +124,12 @@
         };
         let grants = rows.iter().map(grant).collect();
         ctx.effects.push(Effect::QuotaGranted(grants));
-        flight.rows().iter().zip(rows).for_each(|(asked, got)| self.want_rest(asked, got, ctx.now));
+        pending.rows().iter().zip(rows).for_each(|(asked, got)| self.request_rest(asked, got, ctx.now));
         self.ask(ctx);
     }
 
-    /// An owner that has not counted for long gives what it can and blocks nothing: the rest is asked for again.
-    fn want_rest(&mut self, asked: &AcquireRow, got: &GrantedRow, now: Time) {
+    /// An owner that has not counted for long grants what it can and blocks nothing: the rest is requested again.
+    fn request_rest(&mut self, asked: &AcquireRow, got: &GrantedRow, now: Time) {
         let rest = asked.needed.saturating_sub(got.tokens);
         if got.blocked.is_none() && rest > 0 {
             let wanted = self.wanted.entry(asked.tenant.clone()).or_default();
@@ -138,16 +138,16 @@
         }
     }
 
-    fn refused(&mut self, owner: NodeId, key: AcquireKey, view: &Option<View>, ctx: &mut Context) {
-        if let Some(flight) = self.take_flight(owner, key) {
-            self.give_up(flight);
-            self.paused.insert(owner, ctx.now + NOT_OWNER_PAUSE);
+    fn on_not_owner(&mut self, owner: NodeId, key: AcquireKey, view: &Option<View>, ctx: &mut Context) {
+        if let Some(pending) = self.take_pending(owner, key) {
+            self.give_up(pending);
+            self.paused_until.insert(owner, ctx.now + NOT_OWNER_PAUSE);
         }
-        self.view_told(view, ctx);
+        self.on_view(view, ctx);
     }
 
-    /// A newer view may name other owners; the node's own change of view asks them.
-    fn view_told(&self, view: &Option<View>, ctx: &mut Context) {
+    /// A newer view may name other owners; the node's own view change then asks them.
+    fn on_view(&self, view: &Option<View>, ctx: &mut Context) {
         if let Some(newer) = view
             && ctx.views.older(newer)
         {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Asks one of the other members for its view: the owner may have been left out of it.
+    /// Asks another member for its view: a silent owner may have been removed from it.
     fn request_view(&self, silent: NodeId, ctx: &mut Context) {
         let Some(view) = &ctx.views.view else { return };
         let others: Vec<NodeId> = view.chain.iter().copied().filter(|node| *node != silent).collect();
@@ -165,27 +165,27 @@
         }
     }
 
-    /// What a question asked for is wanted again. Tokens of a late answer are not used.
-    fn give_up(&mut self, flight: Flight) {
+    /// Wants again what a request asked for. Tokens of a late answer are not used.
+    fn give_up(&mut self, pending: PendingAcquire) {
         self.counts.given_up += 1;
-        for row in flight.rows() {
+        for row in pending.rows() {
             let wanted = self.wanted.entry(row.tenant.clone()).or_default();
             wanted.needed = wanted.needed.saturating_add(row.needed);
         }
     }
 
-    /// Gives up the questions at nodes that no longer own what is asked for.
-    fn view_changed(&mut self, ctx: &mut Context) {
+    /// Gives up requests at nodes that no longer own what they ask for.
+    fn on_view_change(&mut self, ctx: &mut Context) {
         let Some(view) = ctx.views.view.clone() else { return };
-        self.paused.clear();
-        let moved = |owner: NodeId, flight: &Flight| {
-            flight.rows().iter().any(|row| owner_of(&view, &row.tenant) != Some(owner))
+        self.paused_until.clear();
+        let moved = |owner: NodeId, pending: &PendingAcquire| {
+            pending.rows().iter().any(|row| owner_of(&view, &row.tenant) != Some(owner))
         };
-        let flights = std::mem::take(&mut self.flights);
-        for (owner, flight) in flights {
-            match moved(owner, &flight) {
-                true => self.give_up(flight),
-                false => drop(self.flights.insert(owner, flight)),
+        let pending_requests = std::mem::take(&mut self.pending_requests);
+        for (owner, pending) in pending_requests {
+            match moved(owner, &pending) {
+                true => self.give_up(pending),
+                false => drop(self.pending_requests.insert(owner, pending)),
             }
         }
         self.ask(ctx);
@@ -193,19 +193,19 @@
 
     fn tick(&mut self, ctx: &mut Context) {
         let lease = self.settings.grant_lease();
-        let owners: Vec<NodeId> = self.flights.keys().copied().collect();
+        let owners: Vec<NodeId> = self.pending_requests.keys().copied().collect();
         for owner in owners {
-            let Some(flight) = self.flights.get_mut(&owner) else { continue };
-            if flight.age(ctx.now) >= lease {
-                let flight = self.flights.remove(&owner);
-                flight.into_iter().for_each(|flight| self.give_up(flight));
-            } else if let Some(question) = flight.resend(ctx.now) {
+            let Some(pending) = self.pending_requests.get_mut(&owner) else { continue };
+            if pending.age(ctx.now) >= lease {
+                let pending = self.pending_requests.remove(&owner);
+                pending.into_iter().for_each(|pending| self.give_up(pending));
+            } else if let Some(request) = pending.resend(ctx.now) {
                 self.counts.resent += 1;
-                ctx.send(owner, Msg::Constraint(ConstraintMsg::Acquire(question)));
+                ctx.send(owner, Msg::Constraint(ConstraintMsg::Acquire(request)));
                 self.request_view(owner, ctx);
             }
         }
-        self.paused.retain(|_, until| ctx.now < *until);
+        self.paused_until.retain(|_, until| ctx.now < *until);
         self.ask(ctx);
     }
 }
@@ -222,15 +222,15 @@
                 self.ask(ctx);
             }
             Event::Message { from, msg: Msg::Constraint(ConstraintMsg::Granted { key, rows }), .. } => {
-                self.granted(*from, *key, rows, ctx)
+                self.on_granted(*from, *key, rows, ctx)
             }
             Event::Message { from, msg: Msg::Constraint(ConstraintMsg::NotOwner { key, view }), .. } => {
-                self.refused(*from, *key, view, ctx)
+                self.on_not_owner(*from, *key, view, ctx)
             }
             Event::Message { msg: Msg::Constraint(ConstraintMsg::ViewReply { view }), .. } => {
-                self.view_told(view, ctx)
+                self.on_view(view, ctx)
             }
-            Event::Journal(JournalEvent::ViewHeard(_)) => self.view_changed(ctx),
+            Event::Journal(JournalEvent::ViewHeard(_)) => self.on_view_change(ctx),
             Event::Tick => self.tick(ctx),
             _ => {}
         }
--- a/src/constraints/counters.rs
+++ b/src/constraints/counters.rs
@@ -1,4 +1,5 @@
-//! The counters that one controller owns in the newest view that it knows.
+//! The token buckets that a controller owns in the newest view it knows.
+//!
 #![deny(missing_docs)]
 
 use super::bucket::TokenBucket;
@@ -25,18 +26,18 @@
 }
 
 impl Counters {
-    /// Whether this view is the one followed.
-    pub fn is_in(&self, view: &View) -> bool {
+    /// Whether this view is the current one here.
+    pub fn follows_view(&self, view: &View) -> bool {
         self.view.as_ref().is_some_and(|current| current.no == view.no)
     }
 
-    /// The number of the view.
+    /// Number of the current view.
     pub fn view_no(&self) -> ViewNo {
         self.view.as_ref().map_or(ViewNo::default(), |view| view.no)
     }
 
-    /// Keeps the counters of tenants that this node owned in the view before and owns in the new one: nobody else could
-    /// grant between them. Others are given up to their new owners, or asked for.
+    /// Keeps the counters of tenants that this node owned in the previous view and owns in the new one: nobody else could grant
+    /// in between. Others are offered to their new owners, or requested from their old ones.
     pub fn follow_view(&mut self, view: &View, node: NodeId, now: Time) {
         let old = self.view.replace(view.clone());
         self.node = node;
@@ -45,7 +46,7 @@
         let lost = self.buckets.extract_if(.., |tenant, _| owner_of(view, tenant) != Some(node));
         for (tenant, mut bucket) in lost {
             if bucket.is_open(now) {
-                self.handover.give_up(tenant, bucket.level(now));
+                self.handover.offer(tenant, bucket.level(now));
             }
         }
         for tenant in self.quotas.keys().filter(|tenant| owner_of(view, tenant) == Some(node)) {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Takes over the limits of a configuration.
+    /// Applies the limits of a configuration.
     pub fn set_limits(&mut self, settings: QuotaSettings, config: &FleetConfig, now: Time) {
         let limited = |quota| settings.bucket_limit(quota);
         let rows = config.tenants.iter();
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Adds an empty bucket, which opens then, for each tenant that this node owns and has none for yet.
+    /// Adds an empty bucket, open from `opens`, for each owned tenant that has none yet.
     pub fn add_missing(&mut self, opens: Time) {
         for (tenant, limit) in &self.quotas {
             if !self.buckets.contains_key(tenant) && self.owns(tenant) {
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Takes over counters that the owner of the view before has given, unless they are counted anew already.
-    pub fn handed_over(
+    /// Takes over counters from the owner in the previous view, unless they are already counted anew.
+    pub fn on_handover(
         &mut self,
         from: NodeId,
         view: ViewNo,
@@ -106,7 +107,7 @@
         counted && self.owns(tenant)
     }
 
-    /// The tenant's bucket.
+    /// The bucket of a tenant.
     pub fn bucket(&mut self, tenant: &Name) -> Option<&mut TokenBucket> {
         self.buckets.get_mut(tenant)
     }
@@ -116,7 +117,7 @@
         self.quotas.is_empty()
     }
 
-    /// How many buckets there are.
+    /// Number of buckets.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
--- a/src/constraints/flight.rs
+++ b/src/constraints/flight.rs
@@ -1,52 +1,53 @@
-//! A router's question that is under way at an owner.
+//! An acquire request of a router that is in progress at an owner.
+//!
 #![deny(missing_docs)]
 
 use super::messages::{Acquire, AcquireKey, AcquireRow};
 use crate::kernel::time::{Span, Time};
 
-/// How soon a question without an answer is sent again.
+/// Interval at which an unanswered request is sent again.
 const RESEND_INTERVAL: Span = Span::ms(150);
 
-/// A question, when it was sent first, and when last.
+/// A request with the times at which it was first and last sent.
 #[derive(Clone, Debug)]
-pub struct Flight {
-    question: Acquire,
-    first_sent: Time,
-    last_sent: Time,
+pub struct PendingAcquire {
+    request: Acquire,
+    first_sent_at: Time,
+    last_sent_at: Time,
 }
 
-impl Flight {
-    /// A question that is sent now.
-    pub fn new(question: Acquire, now: Time) -> Flight {
-        Flight { question, first_sent: now, last_sent: now }
+impl PendingAcquire {
+    /// A request that is sent now.
+    pub fn new(request: Acquire, now: Time) -> PendingAcquire {
+        PendingAcquire { request, first_sent_at: now, last_sent_at: now }
     }
 
     /// Its key.
     pub fn key(&self) -> AcquireKey {
-        self.question.key
+        self.request.key
     }
 
-    /// What it asks for.
+    /// Its rows.
     pub fn rows(&self) -> &[AcquireRow] {
-        &self.question.rows
+        &self.request.rows
     }
 
     /// Until when tokens of its answer may be used.
     pub fn valid_until(&self, grant_lease: Span) -> Time {
-        self.first_sent + grant_lease
+        self.first_sent_at + grant_lease
     }
 
-    /// How long ago it was sent first.
+    /// Time since it was first sent.
     pub fn age(&self, now: Time) -> Span {
-        now.since(self.first_sent)
+        now.since(self.first_sent_at)
     }
 
-    /// The question, if it is time to send it again.
+    /// The request, if it is due to be sent again.
     pub fn resend(&mut self, now: Time) -> Option<Acquire> {
-        if now.since(self.last_sent) < RESEND_INTERVAL {
+        if now.since(self.last_sent_at) < RESEND_INTERVAL {
             return None;
         }
-        self.last_sent = now;
-        Some(self.question.clone())
+        self.last_sent_at = now;
+        Some(self.request.clone())
     }
 }
--- a/src/constraints/handover.rs
+++ b/src/constraints/handover.rs
@@ -1,7 +1,8 @@
-//! Counters that go from an owner to the next as the view changes while both live.
+//! Counters that pass from one owner to the next when the view changes while both are alive.
+//!
+//! The old owner stops granting when it learns of the new view, and hands each counter over once. So the new owner need
+//! neither wait nor start with an empty bucket.
 //!
-//! The old owner has stopped granting as it knows the new view, and gives each counter away once. So the new owner
-//! need not wait, nor start with an empty bucket.
 #![deny(missing_docs)]
 
 use super::messages::HandedCounter;
@@ -9,54 +10,54 @@
 use crate::kernel::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How often a counter is asked for that was not given yet.
+/// Interval at which missing counters are requested.
 const REQUEST_INTERVAL: Span = Span::ms(40);
-/// How many requests may be without an answer.
+/// Requests after which missing counters are no longer expected.
 const REQUESTS_KEPT: usize = 32;
 
-/// What one controller gives away and asks for in one view.
+/// What one controller hands over and requests in one view.
 #[derive(Default)]
 pub struct Handover {
-    given_up: BTreeMap<Name, u64>,
-    missing: BTreeMap<NodeId, Vec<Name>>,
-    requests: VecDeque<Time>,
+    offered: BTreeMap<Name, u64>,
+    wanted: BTreeMap<NodeId, Vec<Name>>,
+    requested_at: VecDeque<Time>,
 }
 
 impl Handover {
     /// Keeps the level of a counter that another node owns from this view on.
-    pub fn give_up(&mut self, tenant: Name, level: u64) {
-        self.given_up.insert(tenant, level);
+    pub fn offer(&mut self, tenant: Name, level: u64) {
+        self.offered.insert(tenant, level);
     }
 
-    /// Gives counters away; each only once.
+    /// Hands over counters, each only once.
     pub fn take(&mut self, tenants: &[Name]) -> Vec<HandedCounter> {
         let give = |tenant: &Name| {
-            let level = self.given_up.remove(tenant)?;
+            let level = self.offered.remove(tenant)?;
             Some(HandedCounter { tenant: tenant.clone(), level })
         };
         tenants.iter().filter_map(give).collect()
     }
 
-    /// A counter that the owner of the view before may give.
+    /// Records a counter that the owner in the previous view may hand over.
     pub fn want(&mut self, tenant: Name, from: NodeId) {
-        self.missing.entry(from).or_default().push(tenant);
+        self.wanted.entry(from).or_default().push(tenant);
     }
 
-    /// Whom to ask now for which counters.
+    /// The requests that are due now: whom to ask for which counters.
     pub fn request(&mut self, now: Time) -> Vec<(NodeId, Vec<Name>)> {
-        let soon = self.requests.back().is_some_and(|last| now.since(*last) < REQUEST_INTERVAL);
-        if self.missing.is_empty() || soon {
+        let soon = self.requested_at.back().is_some_and(|last| now.since(*last) < REQUEST_INTERVAL);
+        if self.wanted.is_empty() || soon {
             return Vec::new();
         }
-        self.requests.push_back(now);
-        if self.requests.len() > REQUESTS_KEPT {
-            self.missing.clear();
+        self.requested_at.push_back(now);
+        if self.requested_at.len() > REQUESTS_KEPT {
+            self.wanted.clear();
         }
-        self.missing.iter().map(|(from, tenants)| (*from, tenants.clone())).collect()
+        self.wanted.iter().map(|(from, tenants)| (*from, tenants.clone())).collect()
     }
 
-    /// Whether an answer is to a request of this process. What it gives is not asked for again.
+    /// Whether an answer belongs to a request of this process. What it contains is not requested again.
     pub fn expects(&mut self, from: NodeId, asked: Time) -> bool {
-        self.requests.contains(&asked) && self.missing.remove(&from).is_some()
+        self.requested_at.contains(&asked) && self.wanted.remove(&from).is_some()
     }
 }
--- a/src/constraints/messages.rs
+++ b/src/constraints/messages.rs
@@ -1,4 +1,5 @@
 //! Messages about quotas.
+//!
 #![deny(missing_docs)]
 
 use crate::chain::view::View;
@@ -6,26 +7,26 @@
 use crate::kernel::time::{Span, Time};
 use bitcode::{Decode, Encode};
 
-/// Between the owners of counters, the tail, and routers.
+/// Messages between the owners of counters, the tail, and routers.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum ConstraintMsg {
-    /// An owner asks the tail for authority in a view.
+    /// An owner requests authority in a view from the tail.
     AuthorityRequest {
         /// The owner's view.
         view: ViewNo,
         /// The owner's time; its authority counts from then.
         sent: Time,
-        /// The configuration whose limits it would grant by.
+        /// The configuration whose limits it would apply.
         config_version: Version,
     },
-    /// The tail gives it.
+    /// The tail grants it.
     AuthorityGrant {
         /// The view of both.
         view: ViewNo,
         /// As in the request.
         sent: Time,
     },
-    /// A router asks an owner for tokens.
+    /// A router requests tokens from an owner.
     Acquire(Acquire),
     /// The owner's answer.
     Granted {
@@ -34,7 +35,7 @@
         /// A row for each of the question's.
         rows: Vec<GrantedRow>,
     },
-    /// A new owner asks the owner of the view before for its counters.
+    /// A new owner requests counters from the owner in the previous view.
     HandoverRequest {
         /// The new owner's view.
         view: ViewNo,
@@ -43,7 +44,7 @@
         /// The tenants that are counted.
         tenants: Vec<Name>,
     },
-    /// The old owner, which grants no more, gives what it still had.
+    /// The old owner, which no longer grants, hands over what it still had.
     Handover {
         /// The view of both.
         view: ViewNo,
@@ -52,14 +53,14 @@
         /// The counters that weren't given yet.
         counters: Vec<HandedCounter>,
     },
-    /// A router asks another member than the owner for its view, as the owner is silent.
+    /// A router asks another member than the silent owner for its view.
     ViewRequest,
-    /// Its answer.
+    /// The answer to it.
     ViewReply {
         /// The newest view that the node knows.
         view: Option<View>,
     },
-    /// The node doesn't own a tenant of the question, or has no authority yet. Nothing was spent.
+    /// The node does not own a tenant of the request, or has no authority yet. No token was spent.
     NotOwner {
         /// Which question of the router it answers.
         key: AcquireKey,
@@ -68,27 +69,27 @@
     },
 }
 
-/// The idempotency key of a question: its number at the router that sends it. A router's process has an identity of its own.
+/// Idempotency key of a request: its number at the router that sends it. Each router process has an identity of its own.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Encode, Decode)]
 pub struct AcquireKey(pub u64);
 
-/// A question for tokens.
+/// A request for tokens. If it is sent again, it has the same key and rows.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct Acquire {
-    /// A question that is sent again keeps its key, and has the same rows.
+    /// Identifies the request.
     pub key: AcquireKey,
     /// A row for each tenant.
     pub rows: Vec<AcquireRow>,
 }
 
-/// What a router wants for a tenant.
+/// What a router requests for a tenant.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct AcquireRow {
     /// The tenant.
     pub tenant: Name,
-    /// Requests that wait.
+    /// Requests that wait for a token.
     pub needed: u32,
-    /// Requests that are likely to come soon; they get tokens only while there are plenty.
+    /// Requests expected soon; they get tokens only while the bucket is at least half full.
     pub ahead: u32,
 }
 
@@ -99,7 +100,7 @@
     pub tenant: Name,
     /// Tokens, each for one request.
     pub tokens: u32,
-    /// The quota blocks the rest: when to ask again.
+    /// If the quota blocks the rest: the time to the next token.
     pub blocked: Option<Span>,
 }
 
@@ -108,6 +109,6 @@
 pub struct HandedCounter {
     /// The tenant.
     pub tenant: Name,
-    /// In the bucket's units.
+    /// In the units of the bucket.
     pub level: u64,
 }
--- a/src/constraints/mod.rs
+++ b/src/constraints/mod.rs
@@ -1,7 +1,8 @@
-//! Constraints that are counted over all nodes: the quotas of tenants.
+//! Limits that are enforced across all nodes: the quotas of tenants.
+//!
+//! Controllers own the token buckets (`owner`), under an authority lease (`authority`). Routers acquire tokens from them
+//! (`client`) and spend them on requests (`shares`). See `docs/constraints.md`.
 //!
-//! Controllers own the counters (`owner`), under an authority lease (`authority`). Routers ask them for tokens
-//! (`client`) and hand those to requests (`shares`). See `docs/constraints.md`.
 #![deny(missing_docs)]
 
 pub mod answers;
--- a/src/constraints/owner.rs
+++ b/src/constraints/owner.rs
@@ -1,8 +1,9 @@
-//! The owner of tenants' counters: grants tokens under authority, and gives authority as the tail.
+//! The owner of tenants' token buckets: grants tokens under authority, and grants authority as the tail.
+//!
 #![deny(missing_docs)]
 
-use super::answers::{GivenAnswers, Question};
-use super::authority::{Authority, gives_authority};
+use super::answers::{AcquireStatus, GivenAnswers};
+use super::authority::{Authority, may_grant_authority};
 use super::counters::Counters;
 use super::messages::{Acquire, AcquireKey, AcquireRow, ConstraintMsg, GrantedRow};
 use super::settings::QuotaSettings;
@@ -11,10 +12,10 @@
 use crate::kernel::time::{Span, Time};
 use crate::msg::{Event, Msg};
 
-/// The shortest time for which a router is told to refuse a tenant, so that a tenant far over its quota costs few questions.
+/// Shortest time for which a router refuses a blocked tenant, so that a tenant far over its quota causes few requests.
 const BLOCKED_LEAST: Span = Span::ms(100);
 
-/// What the owner has done since it started.
+/// Event counts since the start.
 #[derive(Clone, Copy, Default, Debug)]
 struct Counts {
     granted: u64,
@@ -23,7 +24,7 @@
     unowned: u64,
 }
 
-/// Component of the controllers.
+/// Component of the controllers that grants quota tokens.
 pub struct QuotaOwner {
     settings: QuotaSettings,
     config_version: Option<Version>,
@@ -49,7 +50,7 @@
     /// Follows the view and the configuration.
     fn follow(&mut self, ctx: &Context) {
         let node = ctx.me.node;
-        if let Some(view) = ctx.views.view.as_ref().filter(|view| !self.counters.is_in(view)) {
+        if let Some(view) = ctx.views.view.as_ref().filter(|view| !self.counters.follows_view(view)) {
             self.authority.follow(view.no);
             self.counters.follow_view(view, node, ctx.now);
         }
@@ -62,7 +63,7 @@
     }
 
     fn add_buckets(&mut self, ctx: &Context) {
-        if let Some(alone_from) = self.authority.alone_from() {
+        if let Some(alone_from) = self.authority.exclusive_from() {
             self.counters.add_missing(alone_from.max(ctx.now));
         }
     }
@@ -75,7 +76,7 @@
         }
     }
 
-    fn counters_requested(
+    fn on_counters_requested(
         &mut self,
         from: NodeId,
         view: ViewNo,
@@ -93,12 +94,13 @@
     fn request_authority(&mut self, ctx: &mut Context) {
         let Some(view) = ctx.views.view.as_ref().filter(|view| view.has(ctx.me.node)) else { return };
         let (Some(tail), no) = (view.tail(), view.no) else { return };
-        if self.counters.has_no_limits() || ctx.views.role.isolated || !self.authority.renews(ctx.now) {
+        if self.counters.has_no_limits() || ctx.views.role.isolated || !self.authority.begins_renewal(ctx.now)
+        {
             return;
         }
         if tail == ctx.me.node {
-            if gives_authority(no, ctx) {
-                self.authority_granted(no, ctx.now, ctx);
+            if may_grant_authority(no, ctx) {
+                self.on_authority_granted(no, ctx.now, ctx);
             }
             return;
         }
@@ -106,8 +108,8 @@
         ctx.send(tail, Msg::Constraint(ConstraintMsg::AuthorityRequest { view: no, sent, config_version }));
     }
 
-    /// The tail gives authority to owners that know the newest limits.
-    fn authority_requested(
+    /// The tail grants authority to owners that know the newest limits.
+    fn on_authority_requested(
         &self,
         from: NodeId,
         view: ViewNo,
@@ -115,43 +117,43 @@
         sent: Time,
         ctx: &mut Context,
     ) {
-        if gives_authority(view, ctx) && config_version == ctx.views.state.config_version {
+        if may_grant_authority(view, ctx) && config_version == ctx.views.state.config_version {
             ctx.send(from, Msg::Constraint(ConstraintMsg::AuthorityGrant { view, sent }));
         }
     }
 
-    fn authority_granted(&mut self, view: ViewNo, sent: Time, ctx: &Context) {
+    fn on_authority_granted(&mut self, view: ViewNo, sent: Time, ctx: &Context) {
         self.authority.granted(view, sent, ctx.now);
         self.add_buckets(ctx);
     }
 
-    fn acquire(&mut self, router: NodeId, question: &Acquire, ctx: &mut Context) {
-        let key = question.key;
-        match self.answers.judge(router, key) {
-            Question::Outdated => return,
-            Question::Repeated(rows) => {
+    fn on_acquire(&mut self, router: NodeId, request: &Acquire, ctx: &mut Context) {
+        let key = request.key;
+        match self.answers.classify(router, key) {
+            AcquireStatus::Outdated => return,
+            AcquireStatus::Repeated(rows) => {
                 self.counts.repeated += 1;
                 return answer(router, key, rows, ctx);
             }
-            Question::New => {}
+            AcquireStatus::New => {}
         }
-        if !self.may_answer(question, ctx) {
+        if !self.may_answer(request, ctx) {
             self.counts.unowned += 1;
             let view = ctx.views.view.clone();
             return ctx.send(router, Msg::Constraint(ConstraintMsg::NotOwner { key, view }));
         }
-        let rows: Vec<GrantedRow> = question.rows.iter().map(|row| self.grant(row, ctx.now)).collect();
+        let rows: Vec<GrantedRow> = request.rows.iter().map(|row| self.grant(row, ctx.now)).collect();
         self.answers.add(router, key, rows.clone(), ctx.now);
         answer(router, key, rows, ctx);
     }
 
-    /// Whether this node has authority, owns the tenants of a question, and knows what may still be granted.
-    fn may_answer(&self, question: &Acquire, ctx: &Context) -> bool {
+    /// Whether this node has authority, owns all tenants of a request, and knows what may still be granted.
+    fn may_answer(&self, request: &Acquire, ctx: &Context) -> bool {
         let counts = |row: &AcquireRow| self.counters.counts_for(&row.tenant, ctx.now);
-        self.authority.holds(ctx.now) && question.rows.iter().all(counts)
+        self.authority.holds(ctx.now) && request.rows.iter().all(counts)
     }
 
-    /// Checks and reserves in one step.
+    /// Checks and takes tokens in one step.
     fn grant(&mut self, row: &AcquireRow, now: Time) -> GrantedRow {
         let tenant = row.tenant.clone();
         let Some(bucket) = self.counters.bucket(&tenant) else {
@@ -175,18 +177,18 @@
         self.answers.sweep(ctx.now);
     }
 
-    fn hear(&mut self, from: NodeId, msg: &ConstraintMsg, ctx: &mut Context) {
+    fn on_message(&mut self, from: NodeId, msg: &ConstraintMsg, ctx: &mut Context) {
         match msg {
             ConstraintMsg::AuthorityRequest { view, sent, config_version } => {
-                self.authority_requested(from, *view, *config_version, *sent, ctx)
+                self.on_authority_requested(from, *view, *config_version, *sent, ctx)
             }
-            ConstraintMsg::AuthorityGrant { view, sent } => self.authority_granted(*view, *sent, ctx),
-            ConstraintMsg::Acquire(question) => self.acquire(from, question, ctx),
+            ConstraintMsg::AuthorityGrant { view, sent } => self.on_authority_granted(*view, *sent, ctx),
+            ConstraintMsg::Acquire(request) => self.on_acquire(from, request, ctx),
             ConstraintMsg::HandoverRequest { view, asked, tenants } => {
-                self.counters_requested(from, *view, *asked, tenants, ctx)
+                self.on_counters_requested(from, *view, *asked, tenants, ctx)
             }
             ConstraintMsg::Handover { view, asked, counters } => {
-                self.counters.handed_over(from, *view, *asked, counters, ctx.now)
+                self.counters.on_handover(from, *view, *asked, counters, ctx.now)
             }
             ConstraintMsg::ViewRequest => {
                 let view = ctx.views.view.clone();
@@ -211,7 +213,7 @@
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         self.follow(ctx);
         match ev {
-            Event::Message { from, msg: Msg::Constraint(msg), .. } => self.hear(*from, msg, ctx),
+            Event::Message { from, msg: Msg::Constraint(msg), .. } => self.on_message(*from, msg, ctx),
             Event::Tick => self.tick(ctx),
             _ => {}
         }
@@ -220,7 +222,7 @@
     fn status(&self, now: Time) -> Vec<(&'static str, String)> {
         vec![
             ("tenants", self.counters.len().to_string()),
-            ("authority_left", self.authority.left(now).to_string()),
+            ("authority_left", self.authority.remaining(now).to_string()),
             ("granted", self.counts.granted.to_string()),
             ("blocked", self.counts.blocked.to_string()),
             ("repeated", self.counts.repeated.to_string()),
--- a/src/constraints/settings.rs
+++ b/src/constraints/settings.rs
@@ -1,12 +1,13 @@
-//! How exactly quotas are to be kept, and what follows for leases and rates.
+//! How strictly quotas are kept, and the leases and rates that follow.
+//!
 #![deny(missing_docs)]
 
 use crate::fleet::tenants::QuotaLimit;
 use crate::kernel::time::Span;
 
-/// The shortest lease of a grant: some round trips between machines that are busy.
+/// Shortest lease of a grant: several round trips between busy machines.
 const GRANT_LEASE_LEAST: Span = Span::ms(250);
-/// The longest lease of a grant; a longer one gains nothing.
+/// Longest lease of a grant; a longer one has no benefit.
 const GRANT_LEASE_MOST: Span = Span::ms(1000);
 /// One, in thousandths.
 const MILLI: u64 = 1000;
@@ -14,11 +15,11 @@
 /// In any window, a tenant may make (rate x window + burst) x (1 + tolerance) + slack requests.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct QuotaSettings {
-    /// The length of a window.
+    /// Length of a window.
     pub window: Span,
     /// The tolerance in thousandths.
     pub tolerance_milli: u64,
-    /// Requests above that.
+    /// Additional requests.
     pub slack: u64,
 }
 
@@ -29,13 +30,13 @@
 }
 
 impl QuotaSettings {
-    /// How long a token may be used, counted from the question that it answers.
+    /// How long a token may be used, counted from the request that acquired it.
     pub fn grant_lease(&self) -> Span {
         Span(self.tolerated().0.clamp(GRANT_LEASE_LEAST.0, GRANT_LEASE_MOST.0))
     }
 
-    /// The bucket of a limit. Uses in a window come from grants in it and in one lease before it: a bucket never
-    /// grants more than the window allows in that time.
+    /// The limit of the bucket for a quota. Uses in a window come from grants in it and in one lease before it, so a bucket may
+    /// grant in that time no more than the window allows.
     pub fn bucket_limit(&self, quota: QuotaLimit) -> QuotaLimit {
         let granting = self.window.0 + self.grant_lease().0;
         let allowed = self.window.0 + self.tolerated().0;
@@ -44,14 +45,14 @@
         QuotaLimit { rate_milli: rate as u64, burst: quota.burst.saturating_add(self.slack / 2) }
     }
 
-    /// The most requests that a window may hold.
+    /// Most requests in a window.
     pub fn window_limit(&self, quota: QuotaLimit) -> f64 {
         let per_s = quota.rate_milli as f64 / MILLI as f64;
         let nominal = per_s * self.window.0 as f64 / 1e6 + quota.burst as f64;
         nominal * (1.0 + self.tolerance_milli as f64 / MILLI as f64) + self.slack as f64
     }
 
-    /// The part of a window that the tolerance makes up.
+    /// The part of a window that corresponds to the tolerance.
     fn tolerated(&self) -> Span {
         Span(self.window.0.saturating_mul(self.tolerance_milli) / MILLI)
     }
--- a/src/constraints/tenant_share.rs
+++ b/src/constraints/tenant_share.rs
@@ -1,24 +1,25 @@
-//! What one router holds of one tenant's quota, and the requests that wait for it.
+//! The share of one tenant's quota held by a router, and the requests that wait for it.
+//!
 #![deny(missing_docs)]
 
 use crate::kernel::time::{Span, Time};
 use std::collections::VecDeque;
 
-/// What a request is told.
+/// The decision on a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum QuotaDecision {
     /// It has a token.
     Granted,
-    /// Its tenant is over its quota until then.
+    /// Its tenant is over its quota for this long.
     Blocked(Span),
-    /// No owner answered in its time.
+    /// No owner answered before its deadline.
     Unanswered,
 }
 
-/// Tells a waiting request what was decided; false if it waits no more.
+/// Hands the decision to a waiting request; false if it no longer waits.
 pub type Wake = Box<dyn FnOnce(QuotaDecision) -> bool + Send>;
 
-/// Over how long uses are counted.
+/// Period over which uses are counted.
 const USE_PERIOD: Span = Span::ms(1000);
 
 struct Tokens {
@@ -27,11 +28,11 @@
 }
 
 struct Waiter {
-    due: Time,
+    deadline: Time,
     wake: Wake,
 }
 
-/// One tenant at one router.
+/// The share of one tenant at one router.
 #[derive(Default)]
 pub struct TenantShare {
     tokens: VecDeque<Tokens>,
@@ -41,7 +42,7 @@
 }
 
 impl TenantShare {
-    /// Uses a token that is still valid, if there is one.
+    /// Takes a valid token, if there is one.
     pub fn use_token(&mut self, now: Time) -> bool {
         self.drop_expired(now);
         let Some(first) = self.tokens.front_mut() else { return false };
@@ -53,24 +54,24 @@
         true
     }
 
-    /// How long the tenant is blocked, if it is.
+    /// Refuses all waiting requests, and new ones until then.
     pub fn blocked(&self, now: Time) -> Option<Span> {
         (now < self.blocked_until).then(|| self.blocked_until.since(now))
     }
 
-    /// A request waits for a token until its due.
+    /// Queues a request for a token until its deadline.
     pub fn wait(&mut self, due: Time, wake: Wake) {
-        self.waiters.push_back(Waiter { due, wake });
+        self.waiters.push_back(Waiter { deadline: due, wake });
     }
 
-    /// Takes tokens over, and hands them to the requests that wait.
+    /// Adds tokens, and hands them to waiting requests.
     pub fn add(&mut self, count: u32, valid_until: Time, now: Time) {
         if count > 0 {
             self.tokens.push_back(Tokens { count, valid_until });
         }
         while !self.waiters.is_empty() && self.has_token(now) {
             let Some(waiter) = self.waiters.pop_front() else { return };
-            if now < waiter.due && (waiter.wake)(QuotaDecision::Granted) {
+            if now < waiter.deadline && (waiter.wake)(QuotaDecision::Granted) {
                 self.use_token(now);
             }
         }
@@ -84,10 +85,10 @@
         }
     }
 
-    /// Refuses the requests whose time is over; they weren't told anything.
-    pub fn end_overdue(&mut self, now: Time) -> u64 {
+    /// Refuses waiting requests whose deadline has passed. Returns their number.
+    pub fn refuse_overdue(&mut self, now: Time) -> u64 {
         let (overdue, waiting): (VecDeque<Waiter>, VecDeque<Waiter>) =
-            self.waiters.drain(..).partition(|waiter| waiter.due <= now);
+            self.waiters.drain(..).partition(|waiter| waiter.deadline <= now);
         self.waiters = waiting;
         let ended = overdue.len() as u64;
         for waiter in overdue {
@@ -101,7 +102,7 @@
         self.waiters.len()
     }
 
-    /// Valid tokens that are not used yet.
+    /// Valid unused tokens.
     pub fn outstanding(&mut self, now: Time) -> u64 {
         self.drop_expired(now);
         self.tokens.iter().map(|tokens| u64::from(tokens.count)).sum()
@@ -113,7 +114,7 @@
         self.uses.len() as u32
     }
 
-    /// Whether nothing is kept here.
+    /// Whether it holds no tokens, waiters, recent uses or block.
     pub fn is_idle(&mut self, now: Time) -> bool {
         let unused = self.last_second(now) == 0 && self.outstanding(now) == 0;
         unused && self.waiters.is_empty() && self.blocked(now).is_none()
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -196,7 +196,7 @@
         Effect::HoldsDuty(on) => drop(list.as_ref().map(|l| l.switch(on))),
         Effect::ReadList => drop(list.as_ref().map(|l| l.read_now())),
         Effect::Holdings(rows) => table.on_holdings(clock.now(), &rows),
-        Effect::QuotaGranted(grants) => table.quota.lock().unwrap().granted(clock.now(), &grants),
+        Effect::QuotaGranted(grants) => table.quota.lock().unwrap().on_granted(clock.now(), &grants),
         Effect::PollRunner(name) => {
             let found = runners.lock().unwrap().iter().find(|r| r.instance == name).cloned();
             let Some(r) = found else { return };
@@ -230,7 +230,7 @@
     table.set_load_requester(Arc::new(move |want| inbox.lock().unwrap().feed(Event::NameWanted(want))));
     let inbox = Mutex::new(hand.clone());
     let asker = move |demand| inbox.lock().unwrap().feed(Event::QuotaWanted(demand));
-    table.quota.lock().unwrap().on_wanted(Arc::new(asker));
+    table.quota.lock().unwrap().set_demand_handler(Arc::new(asker));
     let seen = front.clone();
     let seen = Arc::new(move || seen.seen.rows());
     tokio::spawn(poll::tells(table.clone(), clock.clone(), seen, hand.clone()));
--- a/src/sim/effects.rs
+++ b/src/sim/effects.rs
@@ -49,7 +49,7 @@
             Effect::HoldsDuty(on) => self.nodes[place].reads_list = on,
             Effect::QuotaGranted(grants) => {
                 let now = self.local(place);
-                self.nodes[place].table.quota.lock().unwrap().granted(now, &grants);
+                self.nodes[place].table.quota.lock().unwrap().on_granted(now, &grants);
             }
             Effect::PollRunner(runner) => self.later(Span(1), Event::Looked { place, life, runner }),
             Effect::Holdings(rows) => {
--- a/src/sim/quota.rs
+++ b/src/sim/quota.rs
@@ -70,7 +70,7 @@
     pub fn connect_shares(&mut self, place: usize, life: u64) {
         let demanded = self.quota.demanded.clone();
         let asker = move |demand| demanded.lock().unwrap().push_back(Demanded { place, life, demand });
-        self.nodes[place].table.quota.lock().unwrap().on_wanted(Arc::new(asker));
+        self.nodes[place].table.quota.lock().unwrap().set_demand_handler(Arc::new(asker));
     }
 
     /// A request goes on to its gate once it has a token, if its tenant has a quota.
--- a/tests/quota_request.rs
+++ b/tests/quota_request.rs
@@ -40,7 +40,7 @@
 fn grant(table: &BalancerTable, tokens: u32, blocked_until: Option<Time>) {
     let tenant = Name::from("t1");
     let grant = Grant { tenant, tokens, valid_until: DUE, blocked_until };
-    table.quota.lock().unwrap().granted(NOW, &[grant]);
+    table.quota.lock().unwrap().on_granted(NOW, &[grant]);
 }
 
 /// Asks for a token; `meanwhile` happens as the request waits.
--- a/tests/quota_share.rs
+++ b/tests/quota_share.rs
@@ -20,7 +20,7 @@
     let mut shares = Shares::default();
     let grant =
         Grant { tenant: tenant(), tokens: 2, valid_until: START + Span::ms(500), blocked_until: None };
-    shares.granted(START, &[grant]);
+    shares.on_granted(START, &[grant]);
     let due = START + Span::ms(9000);
     let mut ask = |now| shares.request(now, &tenant(), due, Box::new(|_| true));
     assert_eq!(ask(START + Span::ms(499)), Some(QuotaDecision::Granted));
@@ -32,7 +32,7 @@
     let mut shares = Shares::default();
     let until = START + Span::ms(300);
     let grant = Grant { tenant: tenant(), tokens: 0, valid_until: until, blocked_until: Some(until) };
-    shares.granted(START, &[grant]);
+    shares.on_granted(START, &[grant]);
     let mut ask = |now| shares.request(now, &tenant(), now + Span::ms(9000), Box::new(|_| true));
     assert_eq!(ask(START + Span::ms(100)), Some(QuotaDecision::Blocked(Span::ms(200))));
     assert_eq!(ask(until), None);
