--- a/src/chain/acceptor.rs
+++ b/src/chain/acceptor.rs
@@ -1,12 +1,12 @@
-//! The acceptor: one voter's side of the agreement on the next view.
+//! The acceptor: a voter's side of the agreement on the next view.
 //!
-//! There is one register for each view number. A promise or an acceptance is synced before it is answered, so
-//! that a voter that restarts still knows what it said. A voter whose disk is lost comes back under another id
-//! and has no vote.
+//! There is one Paxos register for each view number. A promise or an acceptance is synced to disk before it is
+//! answered, so a restarted voter still knows what it said. A voter that lost its disk comes back with a new id and
+//! has no vote.
 #![deny(missing_docs)]
 
 use super::core::{Chain, SILENCE_LIMIT};
-use super::heartbeat::ROOM_TO_WRITE;
+use super::heartbeat::MIN_WRITE_BYTES;
 use super::view::View;
 use super::view_change::PROPOSAL_TIMEOUT;
 use crate::kernel::component::Context;
@@ -15,17 +15,17 @@
 use crate::msg::*;
 use bitcode::{Decode, Encode};
 
-/// How long after a promise no lease is granted, so that the proposal comes through.
+/// How long a voter grants no lease after a promise, so that the proposal can succeed.
 const GRANT_PAUSE: Span = Span::ms(1000);
-/// From this silence on, a member counts as lost also for a voter that still hears it.
-const CERTAIN_LOSS: Span = Span::ms(1000);
-/// How long an `Accept` that waits for a lease to run out is kept.
-const DEFERRED_KEPT: Span = Span::ms(2000);
-/// A voter that accepted a view and sees no decision finishes the agreement after this wait, plus a random part.
+/// A member that was silent to the proposer for this long counts as lost even for a voter that still hears it.
+const CERTAIN_LOSS_SILENCE: Span = Span::ms(1000);
+/// How long an `Accept` is kept that waits for a lease to expire.
+const DEFERRED_TIMEOUT: Span = Span::ms(2000);
+/// A voter that accepted a view and sees no decision proposes it itself after this wait, plus a random jitter.
 const FINISH_AFTER: Span = Span::ms(500);
-const FINISH_SPREAD_MS: u64 = 700;
+const FINISH_JITTER_MS: u64 = 700;
 
-/// A view that was accepted, and under which ballot.
+/// An accepted view and its ballot.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct AcceptedView {
     /// The ballot of the proposal.
@@ -34,125 +34,129 @@
     pub view: View,
 }
 
-/// An `Accept` that waits until the lease granted by this voter has run out.
+/// An `Accept` that waits until the lease granted by this voter has expired.
 #[derive(Clone)]
 pub struct DeferredAccept {
     /// The proposer.
     pub from: NodeId,
-    /// What it asks to accept.
+    /// The view to accept.
     pub proposal: AcceptedView,
-    /// When it came.
+    /// When it was received.
     pub since: Time,
 }
 
-/// What a voter has promised and accepted for the view number after its own.
+/// What a voter has promised and accepted for the next view number.
 #[derive(Clone, Default)]
 pub struct Acceptor {
-    /// The number that the register is for.
-    pub no: ViewNo,
+    /// The view number of this register.
+    pub view_no: ViewNo,
     /// The highest ballot promised; lower ones are refused.
     pub promised: Ballot,
     /// The view accepted last.
     pub accepted: Option<AcceptedView>,
-    /// When it was accepted, or this voter last tried to have it decided.
+    /// When it was accepted, or when this voter last proposed it itself.
     pub accepted_at: Time,
     /// Until when a lease that this voter granted may be in use.
-    pub hold: Time,
-    /// Who holds that lease, and the time of its request by that tail's clock.
-    pub granted: Option<(NodeId, Time)>,
-    /// Until when no lease is granted because of a promise.
-    pub pause: Time,
-    /// The acceptance that waits for `hold`.
+    pub lease_hold_until: Time,
+    /// The holder of that lease, and the time of its request on the holder's clock.
+    pub granted_lease: Option<(NodeId, Time)>,
+    /// Until when no lease is granted, because of a promise.
+    pub grants_paused_until: Time,
+    /// The `Accept` that waits for `lease_hold_until`.
     pub deferred: Option<DeferredAccept>,
-    /// The highest round seen, for this node's own next ballot.
-    pub top: u64,
-    /// Until when this node proposes nothing after it lost to a higher ballot.
-    pub rest: Time,
+    /// The highest ballot round seen, from which this node's own next ballot is derived.
+    pub highest_round: u64,
+    /// Until when this node makes no proposal, after it lost to a higher ballot.
+    pub backoff_until: Time,
 }
 
 impl Acceptor {
-    /// Takes up a synced promise, or acceptance, after a restart.
-    pub fn restore_record(&mut self, no: ViewNo, ballot: Ballot, view: Option<View>) {
-        self.no = no;
+    /// Restores a promise or an acceptance from disk.
+    pub fn restore_record(&mut self, view_no: ViewNo, ballot: Ballot, view: Option<View>) {
+        self.view_no = view_no;
         self.promised = self.promised.max(ballot);
-        self.top = self.top.max(ballot.round);
+        self.highest_round = self.highest_round.max(ballot.round);
         if let Some(view) = view {
             self.accepted = Some(AcceptedView { ballot, view });
         }
     }
 
-    /// What must be on disk for `restore_record`.
+    /// The records from which `restore_record` rebuilds this register.
     pub fn records(&self) -> Vec<Record> {
         let mut rows = Vec::new();
         if let Some(AcceptedView { ballot, view }) = &self.accepted {
             rows.push(Record::Accept { ballot: *ballot, view: view.clone() });
         }
         if self.promised != Ballot::default() {
-            rows.push(Record::Promise { no: self.no, ballot: self.promised });
+            rows.push(Record::Promise { view_no: self.view_no, ballot: self.promised });
         }
         rows
     }
 
-    /// Begins the register after `view`; a lease granted before still counts.
+    /// Starts the register for the view after `view`. A lease granted before remains in force.
     pub fn reset(&mut self, view: &View) {
-        let (hold, granted) = (self.hold, self.granted);
-        *self = Acceptor { no: view.no.next(), hold, granted, ..Acceptor::default() };
+        let (lease_hold_until, granted_lease) = (self.lease_hold_until, self.granted_lease);
+        *self = Acceptor { view_no: view.no.next(), lease_hold_until, granted_lease, ..Acceptor::default() };
     }
 
-    /// Whether a lease may be granted: not while a next view is under way.
+    /// Whether a lease may be granted: not while a view change is under way.
     pub fn may_grant(&self, now: Time) -> bool {
-        self.accepted.is_none() && self.deferred.is_none() && now >= self.pause
+        self.accepted.is_none() && self.deferred.is_none() && now >= self.grants_paused_until
     }
 }
 
 impl Chain {
-    /// Answers a proposer's `Prepare`.
-    pub fn prepare_asked(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
-        let ChainMsg::Prepare { no, ballot, lost, quiet } = msg else { return };
-        if *lost == Some(self.ident) {
-            self.return_lease(*no, ctx);
+    /// Answers a `Prepare` of a proposer.
+    pub fn on_prepare(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
+        let ChainMsg::Prepare { view_no, ballot, lost_member, silence } = msg else { return };
+        if *lost_member == Some(self.node_id) {
+            self.return_lease(*view_no, ctx);
         }
-        if self.votes_on(from, *no, ctx) && self.believes_lost(*lost, *quiet, ctx.now) {
-            self.promise(from, *no, *ballot, ctx);
+        if self.can_vote_on(from, *view_no, ctx) && self.believes_lost(*lost_member, *silence, ctx.now) {
+            self.promise(from, *view_no, *ballot, ctx);
         }
     }
 
-    /// Answers a proposer's `Accept`, perhaps later.
-    pub fn accept_asked(&mut self, from: NodeId, ballot: Ballot, view: &View, ctx: &mut Context) {
-        if self.votes_on(from, view.no, ctx) {
+    /// Answers an `Accept` of a proposer, now or once a lease has expired.
+    pub fn on_accept(&mut self, from: NodeId, ballot: Ballot, view: &View, ctx: &mut Context) {
+        if self.can_vote_on(from, view.no, ctx) {
             self.accept_or_defer(from, AcceptedView { ballot, view: view.clone() }, ctx);
         }
     }
 
-    /// Whether this node has a vote on view `no` and can sync it; who asks about a view already decided is told it.
-    fn votes_on(&mut self, from: NodeId, no: ViewNo, ctx: &mut Context) -> bool {
+    /// Whether this node has a vote on view `view_no` and room to sync it. A proposer whose view number is already
+    /// decided is sent the current view.
+    fn can_vote_on(&mut self, from: NodeId, view_no: ViewNo, ctx: &mut Context) -> bool {
         let Some(view) = self.view.clone() else { return false };
-        if no <= view.no {
+        if view_no <= view.no {
             ctx.chain(from, ChainMsg::ViewDecided { view });
             return false;
         }
-        no == view.no.next() && view.voters.contains(&self.ident) && ctx.free_disk_bytes >= ROOM_TO_WRITE
+        view_no == view.no.next()
+            && view.voters.contains(&self.node_id)
+            && ctx.free_disk_bytes >= MIN_WRITE_BYTES
     }
 
-    /// Whether the member named lost is so for this voter too: unheard here, or by the proposer for long.
-    fn believes_lost(&self, lost: Option<NodeId>, quiet: Span, now: Time) -> bool {
-        let Some(lost) = lost else { return true };
-        let heard = self.alive_at.get(&lost).copied().unwrap_or_default();
-        let fine = lost == self.ident || now.since(heard) < SILENCE_LIMIT;
-        !fine || quiet >= CERTAIN_LOSS
+    /// Whether this voter agrees that the member is lost: it is silent here too, or was silent to the proposer for
+    /// `CERTAIN_LOSS_SILENCE`.
+    fn believes_lost(&self, lost_member: Option<NodeId>, silence: Span, now: Time) -> bool {
+        let Some(lost) = lost_member else { return true };
+        let heard = self.last_alive_at.get(&lost).copied().unwrap_or_default();
+        let fine = lost == self.node_id || now.since(heard) < SILENCE_LIMIT;
+        !fine || silence >= CERTAIN_LOSS_SILENCE
     }
 
-    fn promise(&mut self, from: NodeId, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
+    fn promise(&mut self, from: NodeId, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) {
         let saved = self.acceptor.promised == ballot;
-        if self.refuses(from, no, ballot, ctx) {
+        if self.refuses(from, view_no, ballot, ctx) {
             return;
         }
         if !saved {
-            ctx.save(Record::Promise { no, ballot });
+            ctx.save(Record::Promise { view_no, ballot });
         }
-        self.acceptor.pause = ctx.now + GRANT_PAUSE;
+        self.acceptor.grants_paused_until = ctx.now + GRANT_PAUSE;
         let accepted = self.acceptor.accepted.clone();
-        ctx.chain(from, ChainMsg::Promise { no, ballot, accepted });
+        ctx.chain(from, ChainMsg::Promise { view_no, ballot, accepted });
     }
 
     fn accept_or_defer(&mut self, from: NodeId, proposal: AcceptedView, ctx: &mut Context) {
@@ -168,53 +172,54 @@
     }
 
     fn accept(&mut self, from: NodeId, proposal: AcceptedView, ctx: &mut Context) {
-        let (no, ballot) = (proposal.view.no, proposal.ballot);
-        if self.refuses(from, no, ballot, ctx) {
+        let (view_no, ballot) = (proposal.view.no, proposal.ballot);
+        if self.refuses(from, view_no, ballot, ctx) {
             return;
         }
         ctx.save(Record::Accept { ballot, view: proposal.view.clone() });
         self.acceptor.accepted = Some(proposal);
         self.acceptor.accepted_at = ctx.now;
-        ctx.chain(from, ChainMsg::Accepted { no, ballot });
+        ctx.chain(from, ChainMsg::Accepted { view_no, ballot });
     }
 
-    /// Refuses a ballot below the one promised; else promises this one.
-    fn refuses(&mut self, from: NodeId, no: ViewNo, ballot: Ballot, ctx: &mut Context) -> bool {
-        self.acceptor.top = self.acceptor.top.max(ballot.round);
+    /// Refuses a ballot below the promised one; otherwise promises this one.
+    fn refuses(&mut self, from: NodeId, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) -> bool {
+        self.acceptor.highest_round = self.acceptor.highest_round.max(ballot.round);
         if ballot < self.acceptor.promised {
-            ctx.chain(from, ChainMsg::Nack { no, ballot: self.acceptor.promised });
+            ctx.chain(from, ChainMsg::Nack { view_no, ballot: self.acceptor.promised });
             return true;
         }
-        self.acceptor.no = no;
+        self.acceptor.view_no = view_no;
         self.acceptor.promised = ballot;
         false
     }
 
     /// Whether a lease that this voter granted, perhaps before a restart, may still be in use.
     fn lease_may_run(&self, now: Time) -> bool {
-        now < self.acceptor.hold || self.in_restart_wait(now)
+        now < self.acceptor.lease_hold_until || self.is_in_restart_wait(now)
     }
 
-    /// Accepts what waited for a lease, once that has run out or was returned.
+    /// Accepts the deferred view once the lease has expired or was returned.
     pub fn accept_deferred(&mut self, ctx: &mut Context) {
         if !self.lease_may_run(ctx.now)
             && let Some(d) = self.acceptor.deferred.take()
-            && ctx.now.since(d.since) < DEFERRED_KEPT
-            && self.votes_on(d.from, d.proposal.view.no, ctx)
+            && ctx.now.since(d.since) < DEFERRED_TIMEOUT
+            && self.can_vote_on(d.from, d.proposal.view.no, ctx)
         {
             self.accept(d.from, d.proposal, ctx);
         }
     }
 
-    /// Accepts what waited for a lease, gives up an old proposal, and finishes one that was accepted here.
+    /// Timed work: accepts a deferred view, drops a proposal that timed out, and proposes an accepted view that
+    /// nobody has decided.
     pub fn acceptor_tick(&mut self, ctx: &mut Context) {
         self.accept_deferred(ctx);
-        if self.proposal.as_ref().is_some_and(|b| ctx.now.since(b.since) > PROPOSAL_TIMEOUT) {
+        if self.proposal.as_ref().is_some_and(|b| ctx.now.since(b.started_at) > PROPOSAL_TIMEOUT) {
             self.proposal = None;
         }
         let Some(accepted) = &self.acceptor.accepted else { return };
         let view = accepted.view.clone();
-        let wait = FINISH_AFTER + Span::ms(ctx.rand.below(FINISH_SPREAD_MS));
+        let wait = FINISH_AFTER + Span::ms(ctx.rand.below(FINISH_JITTER_MS));
         if self.proposal.is_none() && ctx.now.since(self.acceptor.accepted_at) > wait {
             self.acceptor.accepted_at = ctx.now;
             self.propose_view(view, None, Span(0), ctx);
@@ -222,8 +227,8 @@
     }
 }
 
-/// Whether the lease of `old` must have run out before `next` is accepted. With the same tail and voters it
-/// need not: nothing is committed in `next` without that tail.
+/// Whether the lease of `old` must have expired before `next` is accepted. Not with the same tail and voters:
+/// nothing is committed in `next` without that tail.
 fn ends_lease(next: &View, old: &View) -> bool {
     next.tail() != old.tail() || next.voters != old.voters
 }
--- a/src/chain/change_queue.rs
+++ b/src/chain/change_queue.rs
@@ -1,7 +1,9 @@
-//! The head's queue of changes: what operators and other nodes ask for, until its end is committed and told.
+//! The head's queue of operator calls: each is kept until its outcome is committed and answered.
 //!
-//! An answer is given only from what is committed. A change that is known, taken or refused, is answered from
-//! the replicated state; one that is new goes through the chain, and whoever asked is told its committed end.
+//! Answers are given only from committed state. A call whose change was accepted or refused before is answered from
+//! the replicated state. A new one is submitted to the chain, and its caller gets the committed outcome.
+//! `read_index` proves that the head is current before it decides; `own_change` and `adoption` handle
+//! configurations in the native and in the operator's format.
 
 use crate::distribution::subscribers::Publisher;
 use crate::fleet::state::*;
@@ -14,38 +16,40 @@
 use std::sync::Arc;
 
 use super::adoption_queue::AdoptionQueue;
-use super::heartbeat::ROOM;
+use super::heartbeat::NEARLY_FULL_BYTES;
 use super::read_index::ReadIndex;
-use super::reply::{answerable, decided};
+use super::reply::{can_answer, decided};
 
-/// How many changes wait at the head, for each of the two formats.
+/// How many changes may wait at the head, for each of the two formats.
 pub(super) const QUEUE_CAPACITY: usize = 64;
-/// After this a change that was handed to the chain and did not end is handed to it again.
+/// A change that was submitted to the chain and has no outcome after this time is submitted again.
 pub(super) const RESUBMIT_AFTER: Span = Span::ms(2000);
 
-/// The changes that wait at the head, and the nodes that wait for their ends.
+/// The component of the controllers that takes operator calls, answers reads at the tail and sends updates to
+/// routers.
 #[derive(Clone, Default)]
 pub struct ChangeQueue {
-    pub(super) inbox: VecDeque<(ChangeId, OperatorCall)>,
-    /// Who waits for the end of a change, and under which attempt.
+    pub(super) waiting_changes: VecDeque<(ChangeId, OperatorCall)>,
+    /// The node that waits for the outcome of each change, and its attempt number.
     callers: BTreeMap<ChangeId, (NodeId, u64)>,
     submitted: BTreeMap<ChangeId, Time>,
     leaving_submitted: BTreeMap<Name, Time>,
-    pub(super) proposing: Option<Time>,
-    /// Full answers to changes whose refusal is on its way through the chain.
-    pub(super) refusals: BTreeMap<ChangeId, Answer>,
+    pub(super) proposed_at: Option<Time>,
+    /// The full answers to changes whose refusal was submitted to the chain.
+    pub(super) pending_refusals: BTreeMap<ChangeId, Answer>,
     pub(super) read_index: ReadIndex,
     pub(super) adoptions: AdoptionQueue,
-    pub(super) source: Publisher,
+    pub(super) publisher: Publisher,
 }
 
 impl ChangeQueue {
-    /// A queue that takes configurations in the format of `side` too.
+    /// A queue that also takes configurations in the format of `side`.
     pub fn new(side: Option<Arc<dyn OperatorProtocol>>) -> ChangeQueue {
         ChangeQueue { adoptions: AdoptionQueue::new(side), ..ChangeQueue::default() }
     }
 
-    /// Decides on an order. The head's state was proven to be current after the order arrived (`read_index`).
+    /// Decides on an operator call. The head's state was confirmed as current after the call arrived
+    /// (`read_index`).
     pub(super) fn decide(
         &mut self,
         from: NodeId,
@@ -64,54 +68,58 @@
         if self.is_under_way(id, ctx) {
             return ctx.send(from, Msg::CallPending { id, attempt });
         }
-        if let Some(answer) = cannot_write(ctx) {
-            return self.end(id, answer, ctx);
+        if let Some(answer) = write_obstacle(ctx) {
+            return self.finish(id, answer, ctx);
         }
         match op {
             OperatorCall::PlatformConfig { .. } => self.queue_adoption(id, op, ctx),
             OperatorCall::ReplaceConfig { .. } | OperatorCall::PatchConfig { .. } => {
-                self.queue_own(id, op, ctx)
+                self.queue_own_change(id, op, ctx)
             }
-            _ => self.take(id, op.clone(), ctx),
+            _ => self.execute(id, op.clone(), ctx),
         }
     }
 
-    fn queue_own(&mut self, id: ChangeId, op: &OperatorCall, ctx: &mut Context) {
-        if self.inbox.len() >= QUEUE_CAPACITY {
-            return self.end(id, queue_full(), ctx);
+    fn queue_own_change(&mut self, id: ChangeId, op: &OperatorCall, ctx: &mut Context) {
+        if self.waiting_changes.len() >= QUEUE_CAPACITY {
+            return self.finish(id, queue_full_answer(), ctx);
         }
-        self.inbox.push_back((id, op.clone()));
-        self.work(ctx);
+        self.waiting_changes.push_back((id, op.clone()));
+        self.start_next_change(ctx);
     }
 
     fn is_under_way(&self, id: ChangeId, ctx: &Context) -> bool {
         ctx.views.state.candidate.as_ref().is_some_and(|candidate| candidate.id == id)
-            || self.inbox.iter().any(|row| row.0 == id)
-            || self.adoptions.holds(id)
+            || self.waiting_changes.iter().any(|row| row.0 == id)
+            || self.adoptions.contains(id)
             || self.submitted.get(&id).is_some_and(|since| ctx.now.since(*since) < RESUBMIT_AFTER)
     }
 
-    /// Tells whoever asked the committed end of a change, if it may be told; whether it did.
+    /// Answers the caller of a change whose outcome is committed and may be told. Returns whether it did.
     fn answer_if_decided(&mut self, id: ChangeId, ctx: &mut Context) -> bool {
-        let decision = ctx.views.state.decision(id).filter(|decision| answerable(decision, ctx.views));
+        let decision = ctx.views.state.decision(id).filter(|decision| can_answer(decision, ctx.views));
         let Some(decision) = decision else { return false };
         let refused = matches!(decision, Decision::Outcome(outcome) if outcome.code != OutcomeCode::Ok);
-        let full = self.refusals.remove(&id).filter(|_| refused);
+        let full = self.pending_refusals.remove(&id).filter(|_| refused);
         let answer = full.unwrap_or_else(|| decided(decision));
-        self.end(id, answer, ctx);
+        self.finish(id, answer, ctx);
         true
     }
 
-    /// Answers whoever waits for the change and forgets it.
-    pub(super) fn end(&mut self, id: ChangeId, answer: Answer, ctx: &mut Context) {
+    /// Answers the caller of a change and forgets it.
+    pub(super) fn finish(&mut self, id: ChangeId, answer: Answer, ctx: &mut Context) {
         self.submitted.remove(&id);
         if let Some((caller, attempt)) = self.callers.remove(&id) {
             ctx.send(caller, Msg::CallAnswer { id, attempt, answer });
         }
     }
 
-    fn note_leaving(&mut self, tell: &RouterReport, ctx: &mut Context) {
-        if !ctx.views.role.head || !ctx.views.role.ready || ctx.views.role.copies < ctx.views.role.need {
+    /// Submits a change for each runner that a router reports as leaving and the state does not show so yet.
+    fn submit_leaving(&mut self, tell: &RouterReport, ctx: &mut Context) {
+        if !ctx.views.role.is_head
+            || !ctx.views.role.is_ready
+            || ctx.views.role.copies < ctx.views.role.required_copies
+        {
             return;
         }
         self.leaving_submitted.retain(|_, since| ctx.now.since(*since) < RESUBMIT_AFTER);
@@ -126,13 +134,15 @@
         }
     }
 
-    /// Hands a change to the chain.
+    /// Submits a change to the chain.
     pub(super) fn submit(&mut self, id: ChangeId, change: Change, ctx: &mut Context) {
         self.submitted.insert(id, ctx.now);
         ctx.publish(JournalEvent::Submitted(Arc::new(change)));
     }
 
-    fn settle(&mut self, ctx: &mut Context) {
+    /// Answers all callers whose outcome is known by now, and starts what waits; on other nodes than the head,
+    /// clears the queue.
+    fn answer_decided(&mut self, ctx: &mut Context) {
         let waiting: Vec<ChangeId> = self.callers.keys().copied().collect();
         for id in waiting {
             self.answer_if_decided(id, ctx);
@@ -143,45 +153,46 @@
                 && state.candidate.as_ref().is_none_or(|candidate| candidate.id != *id)
                 && ctx.now.since(*since) < RESUBMIT_AFTER
         });
-        if ctx.views.role.head {
-            self.work(ctx);
+        if ctx.views.role.is_head {
+            self.start_next_change(ctx);
             self.adopt_next(ctx);
         } else {
-            self.stand_down();
+            self.forget_waiting();
         }
     }
 
-    /// Forgets what waits: only the head answers, and entry nodes send again to the new one.
-    fn stand_down(&mut self) {
-        self.inbox.clear();
+    /// Forgets all that waits: only the head answers, and entry nodes resend to the new head.
+    fn forget_waiting(&mut self) {
+        self.waiting_changes.clear();
         self.adoptions.clear();
         self.read_index.clear();
         self.callers.clear();
-        self.refusals.clear();
+        self.pending_refusals.clear();
     }
 }
 
-/// Why nothing can be written now. It says nothing of the change itself: an earlier try may have been taken.
-fn cannot_write(ctx: &Context) -> Option<Answer> {
-    if ctx.free_disk_bytes < ROOM && !ctx.views.role.spare {
-        let text = "the head's disk is nearly full and nothing was written; free room there";
+/// The reason why nothing can be written now. It says nothing about the change: an earlier attempt may have
+/// succeeded.
+fn write_obstacle(ctx: &Context) -> Option<Answer> {
+    if ctx.free_disk_bytes < NEARLY_FULL_BYTES && !ctx.views.role.peers_have_room {
+        let text = "the head's disk is nearly full and nothing was written; free some space there";
         return Some(Answer::new(507, "disk-full", text, 5));
     }
-    if ctx.views.role.copies < ctx.views.role.need {
-        return Some(too_few_copies());
+    if ctx.views.role.copies < ctx.views.role.required_copies {
+        return Some(too_few_copies_answer());
     }
     None
 }
 
-/// The answer to a change that the chain has too few members for.
-pub(super) fn too_few_copies() -> Answer {
-    let text = "the chain has too few members left and takes no change; bring back a controller";
+/// The answer to a change while the chain has too few members.
+pub(super) fn too_few_copies_answer() -> Answer {
+    let text = "the chain has too few members to accept changes; bring back a controller";
     Answer::new(503, "too-few-copies", text, 2)
 }
 
-/// The answer to a change that finds the queue full.
-pub(super) fn queue_full() -> Answer {
-    Answer::new(503, "inbox-full", "too many changes wait; send it again later", 1)
+/// The answer to a change when the queue is full.
+pub(super) fn queue_full_answer() -> Answer {
+    Answer::new(503, "inbox-full", "too many changes are waiting; send it again later", 1)
 }
 
 impl Component for ChangeQueue {
@@ -192,41 +203,43 @@
     fn on(&mut self, ev: &Event, ctx: &mut Context) {
         match ev {
             Event::Message { from, msg, .. } => match msg {
-                Msg::OperatorCall { id, attempt, op } => self.received(*from, *id, *attempt, op, ctx),
-                Msg::OperatorRead { attempt, path } => self.ask(*from, *attempt, path, ctx),
+                Msg::OperatorCall { id, attempt, op } => self.on_operator_call(*from, *id, *attempt, op, ctx),
+                Msg::ReadCall { attempt, path } => self.on_read(*from, *attempt, path, ctx),
                 Msg::Chain(ChainMsg::ReadIndexRequest { view, sent }) => {
-                    self.proof_requested(*view, *sent, ctx)
+                    self.on_read_index_request(*view, *sent, ctx)
                 }
                 Msg::Chain(ChainMsg::ReadIndexReply { view, sent, committed }) => {
-                    self.proof_given(*view, *sent, *committed, ctx)
+                    self.on_read_index_reply(*view, *sent, *committed, ctx)
                 }
                 Msg::RouterReport(tell) => {
-                    self.adoptions.note_live(*from, ctx.now, tell);
-                    self.note_leaving(tell, ctx);
+                    self.adoptions.note_live_routes(*from, ctx.now, tell);
+                    self.submit_leaving(tell, ctx);
+                }
+                Msg::UpdateRequest { nonce, direct: true, have } => {
+                    self.on_update_request(*from, *nonce, have, ctx)
                 }
-                Msg::UpdateRequest { nonce, direct: true, have } => self.news(*from, *nonce, have, ctx),
                 _ => {}
             },
             Event::Journal(JournalEvent::Committed { change, .. }) => {
                 match **change {
-                    Change::Propose { .. } => self.proposing = None,
-                    Change::Adopt { id, .. } | Change::Refuse { id, .. } => self.adoptions.committed(id),
+                    Change::Propose { .. } => self.proposed_at = None,
+                    Change::Adopt { id, .. } | Change::Refuse { id, .. } => self.adoptions.on_committed(id),
                     _ => {}
                 }
-                self.admit(ctx);
-                self.settle(ctx);
+                self.decide_confirmed(ctx);
+                self.answer_decided(ctx);
             }
-            Event::Journal(JournalEvent::Released(_)) => self.settle(ctx),
+            Event::Journal(JournalEvent::Released(_)) => self.answer_decided(ctx),
             Event::Tick => {
-                self.read_index_tick(ctx);
-                self.settle(ctx);
-                self.push(ctx);
+                self.on_read_index_tick(ctx);
+                self.answer_decided(ctx);
+                self.push_updates(ctx);
             }
             _ => {}
         }
     }
 
     fn status(&self, _now: Time) -> Vec<(&'static str, String)> {
-        vec![("inbox", self.inbox.len().to_string())]
+        vec![("inbox", self.waiting_changes.len().to_string())]
     }
 }
--- a/src/chain/lease.rs
+++ b/src/chain/lease.rs
@@ -1,8 +1,8 @@
-//! The tail's lease: only under it the tail answers reads and proves that it is the newest.
+//! The tail's lease: the tail answers reads, and confirms that its view is current, only while it holds it.
 //!
-//! A tail that is to be left out because it cannot write returns its lease, so that the voters need not wait until it
-//! has run out: the change of view then takes a few messages, and a member that is lost meanwhile hardly ever finds it
-//! half made.
+//! A tail that is being removed because it cannot write returns its lease, so that the voters need not wait for it
+//! to expire. The view change then takes only a few messages, which leaves little time for another member to be
+//! lost in the middle of it.
 #![deny(missing_docs)]
 
 use super::core::Chain;
@@ -12,63 +12,69 @@
 use crate::msg::ChainMsg;
 use std::collections::BTreeMap;
 
-/// How long a granted lease may be used, counted from its request.
-pub const LEASE: Span = Span::ms(800);
-/// How long a voter that granted a lease neither promises nor accepts a view without its holder.
-pub const LEASE_PROMISE: Span = Span::ms(850);
-/// How often the tail asks for its lease.
-pub const ASK: Span = Span::ms(200);
-/// A tail that returned its lease asks for none for so long; by then the view has changed, or never will.
-const RETURNED_REST: Span = Span::ms(400);
+/// How long the tail may use a granted lease, counted from its request.
+pub const LEASE_DURATION: Span = Span::ms(800);
+/// How long a voter that granted a lease holds back the acceptance of a view that would end it. Longer than
+/// `LEASE_DURATION`, so that the lease has expired by then.
+pub const LEASE_HOLD: Span = Span::ms(850);
+/// How often the tail requests a renewal.
+pub const LEASE_RENEW_INTERVAL: Span = Span::ms(200);
+/// How long a tail that returned its lease requests no new one. If the view has not changed by then, it will not.
+const RETURN_BACKOFF: Span = Span::ms(400);
 
-/// The tail's own lease.
+/// The tail's record of its lease.
 #[derive(Clone, Default)]
 pub struct Lease {
-    /// Until when it may be used.
-    pub until: Time,
-    /// When it was asked for last.
-    pub asked: Time,
-    /// When it was last returned; grants of what was asked for until then count no more.
-    pub returned: Time,
-    /// The newest request that each voter has granted.
+    /// Until when the lease may be used.
+    pub valid_until: Time,
+    /// When it was last requested.
+    pub requested_at: Time,
+    /// When it was last returned; grants of requests up to then are ignored.
+    pub returned_at: Time,
+    /// The send time of the newest request that each voter has granted.
     pub grants: BTreeMap<NodeId, Time>,
 }
 
 impl Chain {
-    /// Asks all voters for the lease, if this is the tail and it is time.
+    /// Requests the lease from all voters, if this is the ready tail and a renewal is due.
     pub fn renew_lease(&mut self, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
-        if !self.is_tail() || !self.ready || self.awaits_first_vote(ctx) {
+        if !self.is_tail() || !self.is_ready || self.awaits_first_vote(ctx) {
             return;
         }
-        let rests = self.lease.returned != Time(0) && ctx.now.since(self.lease.returned) < RETURNED_REST;
-        if rests || ctx.now.since(self.lease.asked) < ASK {
+        let rests =
+            self.lease.returned_at != Time(0) && ctx.now.since(self.lease.returned_at) < RETURN_BACKOFF;
+        if rests || ctx.now.since(self.lease.requested_at) < LEASE_RENEW_INTERVAL {
             return;
         }
-        self.lease.asked = ctx.now;
+        self.lease.requested_at = ctx.now;
         for node in &view.voters {
             ctx.chain(*node, ChainMsg::LeaseRequest { view: view.no, sent: ctx.now });
         }
     }
 
-    /// A voter grants the tail its lease, unless a next view is under way.
-    pub fn lease_requested(&mut self, from: NodeId, no: ViewNo, sent: Time, ctx: &mut Context) {
+    /// On a voter: grants the lease to the tail, unless a view change is under way.
+    pub fn on_lease_request(&mut self, from: NodeId, view_no: ViewNo, sent: Time, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
-        if view.no != no || view.tail() != Some(from) || !view.voters.contains(&self.ident) {
+        if view.no != view_no || view.tail() != Some(from) || !view.voters.contains(&self.node_id) {
             return;
         }
-        if self.in_restart_wait(ctx.now) || !self.acceptor.may_grant(ctx.now) {
+        if self.is_in_restart_wait(ctx.now) || !self.acceptor.may_grant(ctx.now) {
             return;
         }
-        self.acceptor.hold = ctx.now + LEASE_PROMISE;
-        self.acceptor.granted = Some((from, sent));
-        ctx.chain(from, ChainMsg::LeaseGrant { view: no, sent });
+        self.acceptor.lease_hold_until = ctx.now + LEASE_HOLD;
+        self.acceptor.granted_lease = Some((from, sent));
+        ctx.chain(from, ChainMsg::LeaseGrant { view: view_no, sent });
     }
 
-    /// Counts a grant; the lease runs from the latest request that a majority has granted.
-    pub fn lease_granted(&mut self, from: NodeId, no: ViewNo, sent: Time) {
+    /// Counts a grant. The lease runs from the newest request that a majority has granted.
+    pub fn on_lease_grant(&mut self, from: NodeId, view_no: ViewNo, sent: Time) {
         let Some(view) = &self.view else { return };
-        if view.no != no || !self.is_tail() || !view.voters.contains(&from) || sent <= self.lease.returned {
+        if view.no != view_no
+            || !self.is_tail()
+            || !view.voters.contains(&from)
+            || sent <= self.lease.returned_at
+        {
             return;
         }
         let best = self.lease.grants.entry(from).or_default();
@@ -77,20 +83,20 @@
         sends.sort();
         sends.reverse();
         if let Some(t) = sends.get(view.majority() - 1) {
-            self.lease.until = self.lease.until.max(*t + LEASE);
+            self.lease.valid_until = self.lease.valid_until.max(*t + LEASE_DURATION);
         }
     }
 
-    /// Gives the lease up, if this tail cannot write and is to be left out of view `no`: from here on it answers
-    /// nothing as the tail, whatever was granted before.
-    pub fn return_lease(&mut self, no: ViewNo, ctx: &mut Context) {
+    /// Returns the lease if this tail cannot write and `view_no` is the view that removes it. From then on it
+    /// answers nothing as the tail, whatever was granted before.
+    pub fn return_lease(&mut self, view_no: ViewNo, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
-        if no != view.no.next() || !self.is_tail() || self.can_write(ctx) {
+        if view_no != view.no.next() || !self.is_tail() || self.can_write(ctx) {
             return;
         }
-        let sent = self.lease.asked;
-        self.lease.until = Time(0);
-        self.lease.returned = ctx.now;
+        let sent = self.lease.requested_at;
+        self.lease.valid_until = Time(0);
+        self.lease.returned_at = ctx.now;
         self.lease.grants.clear();
         ctx.log_event("lease-returned", view.no.to_string());
         for node in &view.voters {
@@ -98,19 +104,19 @@
         }
     }
 
-    /// The tail has returned the lease that it asked for at `sent`. Only the very lease that this voter granted last
-    /// ends so: a word that comes late says nothing of a later one.
-    pub fn lease_returned(&mut self, from: NodeId, no: ViewNo, sent: Time, ctx: &mut Context) {
-        let current = self.view.as_ref().is_some_and(|view| view.no == no);
-        if !current || self.acceptor.granted != Some((from, sent)) {
+    /// On a voter: the tail has returned the lease that it requested at `sent`. Ignored unless that is the lease
+    /// granted last, since a delayed message says nothing about a later lease.
+    pub fn on_lease_returned(&mut self, from: NodeId, view_no: ViewNo, sent: Time, ctx: &mut Context) {
+        let current = self.view.as_ref().is_some_and(|view| view.no == view_no);
+        if !current || self.acceptor.granted_lease != Some((from, sent)) {
             return;
         }
-        self.acceptor.hold = Time(0);
+        self.acceptor.lease_hold_until = Time(0);
         self.accept_deferred(ctx);
     }
 
-    /// Whether this voter may still be bound by a lease that it granted before it was restarted.
-    pub fn in_restart_wait(&self, now: Time) -> bool {
-        now.since(self.started) < LEASE_PROMISE + Span::ms(50)
+    /// Whether a lease that this voter granted before its restart may still be in use.
+    pub fn is_in_restart_wait(&self, now: Time) -> bool {
+        now.since(self.started_at) < LEASE_HOLD + Span::ms(50)
     }
 }
--- a/src/chain/recovery.rs
+++ b/src/chain/recovery.rs
@@ -1,3 +1,5 @@
+//! Restoring a member from the records on its disk, writing them anew, and inspecting or restoring a copy offline.
+
 use super::acceptor::Acceptor;
 use super::core::Chain;
 use super::replication_log::ReplicationLog;
@@ -9,65 +11,75 @@
 use std::sync::Arc;
 
 impl Chain {
+    /// Applies one record; called for all records in the order in which they were written.
     pub fn restore_record(&mut self, record: Record) {
         match record {
-            Record::Ident { node } => self.ident = node,
+            Record::Ident { node } => self.node_id = node,
             Record::Fleet { fleet } => self.fleet = fleet,
             Record::Pledge { fleet, members } => self.founder.pledge = Some((fleet, members)),
             Record::View { view } => {
                 self.acceptor = Acceptor::default();
                 self.view = Some(view);
             }
-            Record::Promise { no, ballot } => self.acceptor.restore_record(no, ballot, None),
+            Record::Promise { view_no, ballot } => self.acceptor.restore_record(view_no, ballot, None),
             Record::Accept { ballot, view } => self.acceptor.restore_record(view.no, ballot, Some(view)),
             Record::Entry { entry } => self.log.push(*entry),
-            Record::Snapshot { at, tag, state } => {
-                self.log = ReplicationLog::behind(at, tag);
+            Record::Snapshot { at, base_view, state } => {
+                self.log = ReplicationLog::after_snapshot(at, base_view);
                 self.committed = at;
-                self.load = Some(Arc::new(*state));
+                self.restored_state = Some(Arc::new(*state));
             }
-            Record::Ready { view } => self.ready_in = Some(view),
+            Record::Ready { view } => self.ready_in_view = Some(view),
             Record::Book { .. } => {}
         }
     }
 
+    /// All records from which this member can be restored, with `state` as the snapshot at the start of the log.
     pub fn records(&self, state: &FleetState) -> Vec<Record> {
-        let mut rows = vec![Record::Ident { node: self.ident }, Record::Fleet { fleet: self.fleet }];
+        let mut rows = vec![Record::Ident { node: self.node_id }, Record::Fleet { fleet: self.fleet }];
         if let Some((fleet, members)) = &self.founder.pledge {
             rows.push(Record::Pledge { fleet: *fleet, members: members.clone() });
         }
         if let Some(view) = &self.view {
             rows.push(Record::View { view: view.clone() });
         }
-        if let Some(view) = self.ready_in {
+        if let Some(view) = self.ready_in_view {
             rows.push(Record::Ready { view });
         }
         rows.extend(self.acceptor.records());
         let state = Box::new(state.clone());
-        rows.push(Record::Snapshot { at: self.log.base, tag: self.log.tag, state });
+        rows.push(Record::Snapshot { at: self.log.base, base_view: self.log.base_view, state });
         rows.extend(self.log.iter().map(|e| Record::Entry { entry: Box::new(e.clone()) }));
         rows
     }
 }
 
-const LEAP: u64 = 1_000_000;
+/// How far the view number is raised by a restore, so that views of the lost members are older.
+const RESTORED_VIEW_STEP: u64 = 1_000_000;
 
-pub struct Copy {
+/// What a data folder holds.
+pub struct StoredCopy {
+    /// The id of the node that wrote it.
     pub node: NodeId,
+    /// Its fleet; 0 if it belongs to none.
     pub fleet: FleetId,
+    /// The last installed view.
     pub view: Option<View>,
+    /// The last entry, committed or not.
     pub synced: Version,
+    /// The version of the configuration after all entries.
     pub config_version: Version,
 }
 
-pub fn inspect(records: &[Record]) -> Copy {
+/// Describes a data folder by its records.
+pub fn inspect_records(records: &[Record]) -> StoredCopy {
     let c = Chain::new(NodeId(0), records.to_vec(), Time(0));
-    let mut state = c.load.as_deref().cloned().unwrap_or_default();
+    let mut state = c.restored_state.as_deref().cloned().unwrap_or_default();
     for e in c.log.iter() {
         state.fold(e.at, &e.change);
     }
-    Copy {
-        node: c.ident,
+    StoredCopy {
+        node: c.node_id,
         fleet: c.fleet,
         view: c.view,
         synced: c.log.last(),
@@ -75,14 +87,15 @@
     }
 }
 
-pub fn restore(records: &[Record]) -> Option<Vec<Record>> {
+/// The records for going on with this copy as the only member of the chain; none if it holds no view.
+pub fn restore_as_only(records: &[Record]) -> Option<Vec<Record>> {
     let mut c = Chain::new(NodeId(0), records.to_vec(), Time(0));
     let old = c.view.clone()?;
-    let me = c.ident;
-    let no = ViewNo(old.no.0 + LEAP);
+    let me = c.node_id;
+    let view_no = ViewNo(old.no.0 + RESTORED_VIEW_STEP);
     c.acceptor = Acceptor::default();
-    c.view = Some(View { no, chain: vec![me], voters: vec![me] });
-    c.ready_in = Some(no);
-    let state = c.load.as_deref().cloned().unwrap_or_default();
+    c.view = Some(View { no: view_no, chain: vec![me], voters: vec![me] });
+    c.ready_in_view = Some(view_no);
+    let state = c.restored_state.as_deref().cloned().unwrap_or_default();
     Some(c.records(&state))
 }
--- a/src/chain/replicate.rs
+++ b/src/chain/replicate.rs
@@ -1,25 +1,25 @@
-//! Entries on their way down the chain, and progress on its way up.
+//! Replication: entries travel down the chain to the tail, progress reports travel back up to the head.
 
 use super::core::Chain;
-use super::heartbeat::ROOM_TO_WRITE;
-use super::replication_log::Fit;
+use super::heartbeat::MIN_WRITE_BYTES;
+use super::replication_log::EntryFit;
 use crate::kernel::component::Context;
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
 use std::sync::Arc;
 
-/// How long entries may be under way to the next member before they are sent again.
+/// Entries without progress for this long are sent again.
 const RESEND_AFTER: Span = Span::ms(200);
-/// How long a snapshot may be under way to the next member before it is sent again.
+/// A snapshot without progress for this long is sent again.
 const RESEND_SNAPSHOT_AFTER: Span = Span::ms(600);
 
-/// What the next member of the chain has, and what is under way to it.
+/// What the next member of the chain has synced, and what was sent to it.
 #[derive(Clone, Default)]
 pub struct SuccessorProgress {
     synced: Version,
     sent: Version,
-    /// Since when something is under way without any progress.
+    /// Since when sent entries have waited without any progress.
     waits_since: Time,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// All entries up to this one have been sent, and nothing behind it.
+    /// Records that all entries up to `upto` were sent, and none after it.
     fn note_sent(&mut self, upto: Version, now: Time) {
         if self.sent <= self.synced {
             self.waits_since = now;
@@ -39,12 +39,12 @@
         self.sent = upto;
     }
 
-    /// The last entry that was sent, and since when that waits: what a resend depends on.
+    /// The last entry sent, and since when it waits: together they decide about a resend.
     pub fn under_way(&self) -> (Version, Time) {
         (self.sent, self.waits_since)
     }
 
-    /// Whether the entry follows what was sent, so that it fits without any other.
+    /// Whether the entry directly follows what was sent.
     fn is_next(&self, at: Version) -> bool {
         at == self.sent.max(self.synced).next()
     }
@@ -55,126 +55,146 @@
 }
 
 impl Chain {
+    /// On the head: appends a change to the log and sends it down the chain. Drops it if the head is not ready, the
+    /// chain has too few members, or there is no room.
     pub fn submit(&mut self, change: &Shared, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
         if !self.is_head()
-            || !self.ready
+            || !self.is_ready
             || view.chain.len() < ctx.me.required_copies()
-            || !self.takes_entries(ctx)
+            || !self.can_append(ctx)
         {
             return;
         }
         let entry = Entry { at: self.log.last().next(), view: view.no, change: change.clone() };
         self.append_entry(entry.clone(), ctx);
         self.commit_if_tail(ctx);
-        if let Some(next) = view.after(self.ident) {
+        if let Some(next) = view.after(self.node_id) {
             self.forward(next, view.no, vec![entry], ctx);
         }
     }
 
-    /// Sends new entries on at once if the next member lacks none before them; else its progress asks for all.
+    /// Passes new entries on at once if the next member lacks none before them. Otherwise its next progress report
+    /// leads to `catch_up`.
     fn forward(&mut self, to: NodeId, view: ViewNo, entries: Vec<Entry>, ctx: &mut Context) {
         let (Some(first), Some(last)) = (entries.first(), entries.last()) else { return };
         if !self.successor.is_next(first.at) {
             return;
         }
         self.successor.note_sent(last.at, ctx.now);
-        let upto = self.log.last();
-        ctx.chain(to, ChainMsg::Append { view, first: false, upto, entries });
+        let log_last = self.log.last();
+        ctx.chain(to, ChainMsg::Append { view, is_announcement: false, log_last, entries });
     }
 
-    fn takes_entries(&self, ctx: &Context) -> bool {
-        ctx.free_disk_bytes >= ROOM_TO_WRITE && !self.log.is_full()
+    fn can_append(&self, ctx: &Context) -> bool {
+        ctx.free_disk_bytes >= MIN_WRITE_BYTES && !self.log.is_full()
     }
 
+    /// Saves an entry and appends it to the log.
     pub fn append_entry(&mut self, entry: Entry, ctx: &mut Context) {
         ctx.save(Record::Entry { entry: Box::new(entry.clone()) });
         self.log.push(entry);
     }
 
-    pub fn announce(&mut self, ctx: &mut Context) {
+    /// Tells the next member the last entry of this log, without entries.
+    pub fn announce_log_end(&mut self, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
-        let Some(next) = view.after(self.ident) else { return };
-        let upto = self.log.last();
-        ctx.chain(next, ChainMsg::Append { view: view.no, first: true, upto, entries: vec![] });
+        let Some(next) = view.after(self.node_id) else { return };
+        let log_last = self.log.last();
+        ctx.chain(next, ChainMsg::Append { view: view.no, is_announcement: true, log_last, entries: vec![] });
     }
 
+    /// Reports to the previous member what is synced and committed here.
     pub fn report_progress(&mut self, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
-        let Some(prev) = view.before(self.ident) else { return };
+        let Some(prev) = view.before(self.node_id) else { return };
         let (view, synced) = (view.no, self.log.last());
-        let chain_synced = if self.ready { self.lowest() } else { Version(0) };
+        let synced_to_tail = if self.is_ready { self.synced_to_tail() } else { Version(0) };
         let committed = self.committed;
-        ctx.chain(prev, ChainMsg::Progress { view, synced, committed, chain_synced });
-    }
-
-    pub fn append(&mut self, from: NodeId, no: ViewNo, upto: Version, rows: &[Entry], ctx: &mut Context) {
+        ctx.chain(prev, ChainMsg::Progress { view, synced, committed, synced_to_tail });
+    }
+
+    /// Appends entries from the previous member, passes them on and reports progress. A member becomes ready once
+    /// it holds all entries that its predecessor had. If an entry conflicts with one held here, the node is reset.
+    pub fn on_append(
+        &mut self,
+        from: NodeId,
+        view_no: ViewNo,
+        log_last: Version,
+        rows: &[Entry],
+        ctx: &mut Context,
+    ) {
         let Some(view) = self.view.clone() else { return };
-        if view.no != no || view.before(self.ident) != Some(from) || ctx.free_disk_bytes < ROOM_TO_WRITE {
+        if view.no != view_no
+            || view.before(self.node_id) != Some(from)
+            || ctx.free_disk_bytes < MIN_WRITE_BYTES
+        {
             return;
         }
         let mut added = Vec::new();
         for e in rows {
-            match self.log.fit(e) {
-                Fit::Next => {
+            match self.log.classify(e) {
+                EntryFit::Next => {
                     self.append_entry(e.clone(), ctx);
                     added.push(e.clone());
                 }
-                Fit::Known => {}
-                Fit::Gap => break,
-                Fit::Clash => {
-                    let why = format!("entry {} differs from the one before it in the chain", e.at);
+                EntryFit::AlreadyHeld => {}
+                EntryFit::Gap => break,
+                EntryFit::Conflict => {
+                    let why = format!("entry {} conflicts with the entry of the previous member", e.at);
                     ctx.effects.push(Effect::Reset(why));
                     return;
                 }
             }
         }
         let last = self.log.last();
-        if !self.ready && last >= upto {
-            self.ready = true;
+        if !self.is_ready && last >= log_last {
+            self.is_ready = true;
             self.ready_since = ctx.now;
-            self.save_ready(no, ctx);
-            ctx.log_event("chain-ready", format!("{last} in {no}"));
+            self.save_ready(view_no, ctx);
+            ctx.log_event("chain-ready", format!("{last} in {view_no}"));
         }
-        if let Some(next) = view.after(self.ident) {
-            self.forward(next, no, added, ctx);
+        if let Some(next) = view.after(self.node_id) {
+            self.forward(next, view_no, added, ctx);
         }
         self.commit_if_tail(ctx);
         self.report_progress(ctx);
     }
 
-    pub fn have(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
-        let ChainMsg::Progress { view: no, synced, committed, chain_synced } = *msg else { return };
+    /// Handles a progress report of the next member. If that member holds entries that are missing here, this node
+    /// has lost some, and is reset.
+    pub fn on_progress(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
+        let ChainMsg::Progress { view: view_no, synced, committed, synced_to_tail } = *msg else { return };
         let Some(view) = self.view.clone() else { return };
-        if view.no != no || view.after(self.ident) != Some(from) {
+        if view.no != view_no || view.after(self.node_id) != Some(from) {
             return;
         }
         if synced > self.log.last() {
-            let why = format!("the next in the chain holds {synced}, this node only {}", self.log.last());
+            let why = format!("the next member holds {synced}, this node only {}", self.log.last());
             ctx.effects.push(Effect::Reset(why));
             return;
         }
         self.successor.note_synced(synced, ctx.now);
-        self.chain_synced = self.chain_synced.max(chain_synced);
+        self.successor_synced_to_tail = self.successor_synced_to_tail.max(synced_to_tail);
         self.apply_up_to(committed, ctx);
         if synced == self.log.last() {
             return;
         }
-        self.catch_up(from, no, synced, ctx);
+        self.catch_up(from, view_no, synced, ctx);
     }
 
-    /// Sends what the next member lacks, unless that is under way already.
+    /// Sends what the next member lacks, unless it was sent lately: entries, or a snapshot if the log begins later.
     fn catch_up(&mut self, to: NodeId, view: ViewNo, synced: Version, ctx: &mut Context) {
-        let Some(entries) = self.log.after(synced) else { return self.send_snapshot(to, ctx) };
+        let Some(entries) = self.log.entries_after(synced) else { return self.send_snapshot(to, ctx) };
         if self.successor.is_under_way(ctx.now, RESEND_AFTER) {
             return;
         }
-        let upto = self.log.last();
+        let log_last = self.log.last();
         if let Some(last) = entries.last() {
             self.successor.waits_since = ctx.now;
             self.successor.note_sent(last.at, ctx.now);
         }
-        ctx.chain(to, ChainMsg::Append { view, first: false, upto, entries });
+        ctx.chain(to, ChainMsg::Append { view, is_announcement: false, log_last, entries });
     }
 
     fn send_snapshot(&mut self, to: NodeId, ctx: &mut Context) {
@@ -189,12 +209,14 @@
         ctx.chain(to, ChainMsg::Snapshot { at, state });
     }
 
+    /// On the ready tail: commits all entries of the log.
     pub fn commit_if_tail(&mut self, ctx: &mut Context) {
-        if self.is_tail() && self.ready {
+        if self.is_tail() && self.is_ready {
             self.apply_up_to(self.log.last(), ctx);
         }
     }
 
+    /// Publishes the entries up to `upto` as committed, as far as they are held here.
     pub fn apply_up_to(&mut self, upto: Version, ctx: &mut Context) {
         let before = self.committed;
         while self.committed < upto {
@@ -209,4 +231,5 @@
     }
 }
 
+/// A change shared between components.
 pub type Shared = Arc<crate::fleet::state::Change>;
--- a/src/chain/serving_leases.rs
+++ b/src/chain/serving_leases.rs
@@ -1,16 +1,17 @@
-//! The ledger of serving leases, kept by all members of the chain, and the version up to which changes are released.
+//! The ledger of serving leases, kept by all members of the chain, and the version up to which changes are
+//! released.
 //!
-//! Routers serve by a lease for longer than `proof` after their last contact (see
-//! `distribution::serving_lease`). So that nobody is served by an old configuration `proof` after a newer one was
-//! acknowledged, the head acknowledges a change only once it is *released*: each router that holds a lease has
-//! confirmed it, or has at most `proof` left of that lease.
+//! With a serving lease a router may serve for longer than the freshness limit after its last contact (see
+//! `distribution::serving_lease`). No request may be served by an old configuration more than the freshness limit
+//! after a newer one was acknowledged. So the head acknowledges a change only once it is *released*: each router
+//! with a lease has confirmed the change, or its lease ends within the freshness limit.
 //!
-//! Requests enter at the head and go along the chain; each member records one in memory before the next member
-//! gets it, and the tail grants it. So whichever member is the next tail has the whole ledger. A member that is
-//! new in the chain, or was restarted, counts all that it can't know as running for a whole lease from then, or
-//! until its predecessor has given it the ledger (`ledger_transfer`).
+//! Requests enter at the head and travel along the chain. Each member records a request in memory before the next
+//! member gets it, and the tail grants it, so whichever member becomes the tail has the whole ledger. A new or
+//! restarted member assumes that leases it does not know of run for a whole lease duration from then, or until its
+//! predecessor has sent it the ledger (`ledger_transfer`).
 
-use super::lease::LEASE;
+use super::lease::LEASE_DURATION;
 use super::ledger_transfer::LedgerRequest;
 use super::version_history::VersionHistory;
 use super::view::View;
@@ -21,48 +22,49 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What one node's clock may lose against another's while a lease runs.
+/// How far the clocks of two nodes may drift apart while a lease runs.
 pub const CLOCK_DRIFT_MARGIN: Span = Span::ms(20);
-/// How often the released version is told up the chain again.
-const REPEAT_INTERVAL: Span = Span::ms(150);
+/// How often the released version is sent up the chain again.
+const RELEASED_INTERVAL: Span = Span::ms(150);
 
-/// A router with a lease.
+/// A router with a serving lease.
 #[derive(Clone)]
-pub(super) struct Holder {
+pub(super) struct LeaseHolder {
     pub(super) until: Time,
-    /// What it has confirmed to have.
+    /// The versions that it has confirmed to have.
     pub(super) versions: Vec<Version>,
     pub(super) address: Option<SocketAddr>,
     pub(super) number: LeaseNumber,
 }
 
-/// Component of the controllers that keeps the ledger, and passes on what is released.
+/// The component of the controllers that keeps the ledger and publishes the released version.
 #[derive(Clone, Default)]
 pub struct ServingLeases {
-    pub(super) holders: BTreeMap<NodeId, Holder>,
+    pub(super) holders: BTreeMap<NodeId, LeaseHolder>,
     history: VersionHistory,
-    /// The view in which this node is a member, and the ledger is whole but for what `unknown_until` covers.
+    /// The view in which this node is a member. The ledger is complete except for what `unknown_until` covers.
     view: Option<ViewNo>,
     unknown_until: Time,
-    waiting: Vec<LeaseApplication>,
-    count: u64,
-    told: Time,
+    pending: Vec<LeaseApplication>,
+    application_count: u64,
+    released_sent_at: Time,
     pub(super) ledger_request: LedgerRequest,
 }
 
 impl ServingLeases {
-    /// Until when serving leases that this member doesn't know of may run.
+    /// Until when serving leases that this member does not know of may run.
     pub fn unknown_until(&self) -> Time {
         self.unknown_until
     }
 
-    /// All leases that this member doesn't know of have ended by `until`.
-    pub(super) fn limit_unknown(&mut self, until: Time) {
+    /// Records that all leases that this member does not know of end by `until`.
+    pub(super) fn limit_unknown_until(&mut self, until: Time) {
         self.unknown_until = self.unknown_until.min(until);
     }
 
-    /// Follows the view. A member that was in the chain of the view before has recorded every application that
-    /// was granted in it; another one, or one that was restarted, counts a whole lease for what it doesn't know.
+    /// Follows a change of view. A member of the previous view has recorded every application granted in it. Any
+    /// other member, or a restarted one, clears its ledger and assumes a whole lease duration for what it does not
+    /// know.
     fn follow_view(&mut self, ctx: &mut Context) {
         let view = ctx.views.role.view;
         if self.view == Some(view) {
@@ -73,125 +75,126 @@
         if !went_on {
             self.holders.clear();
             self.history.clear();
-            self.unknown_until = ctx.now + ctx.me.serving_lease + LEASE;
+            self.unknown_until = ctx.now + ctx.me.serving_lease + LEASE_DURATION;
             self.renew_ledger_request(ctx);
         }
         self.view = inside.then_some(view);
     }
 
-    fn leads(&self, ctx: &Context) -> bool {
+    fn holds_tail_lease(&self, ctx: &Context) -> bool {
         let role = ctx.views.role;
-        role.tail && self.view == Some(role.view) && ctx.now < role.until
+        role.is_tail && self.view == Some(role.view) && ctx.now < role.lease_until
     }
 
-    /// The view that this node and its chain agree on. A member that hears no majority stays silent: its letters
-    /// would count as signs of life, and it would not be left out.
+    /// The current view, if the chain component of this node has the same. None on a member that hears no majority:
+    /// its messages would make it look alive, and it would not be removed from the chain.
     pub(super) fn current_view(&self, ctx: &Context) -> Option<View> {
-        if ctx.views.role.isolated {
+        if ctx.views.role.is_isolated {
             return None;
         }
         ctx.views.view.clone().filter(|v| Some(v.no) == self.view && v.no == ctx.views.role.view)
     }
 
-    /// At the head: a request is numbered and goes along the chain with the others of this moment.
-    fn requested(&mut self, router: NodeId, request: &ServingLeaseRequest, ctx: &mut Context) {
+    /// On the head: numbers a request, which then goes along the chain with all others since the last tick.
+    fn on_lease_request(&mut self, router: NodeId, request: &ServingLeaseRequest, ctx: &mut Context) {
         let view = self.current_view(ctx).filter(|v| v.head() == Some(ctx.me.node));
         let Some(view) = view else {
             let view = ctx.views.view.clone();
             return ctx.send(router, Msg::UpdateRefused { nonce: 0, view });
         };
-        self.count += 1;
-        let number = LeaseNumber { view: view.no, count: self.count };
+        self.application_count += 1;
+        let number = LeaseNumber { view: view.no, count: self.application_count };
         let address = ctx.views.member(router).map(|m| m.addr);
-        self.waiting.push(LeaseApplication { number, router, address, request: request.clone() });
+        self.pending.push(LeaseApplication { number, router, address, request: request.clone() });
     }
 
-    fn pass_waiting(&mut self, ctx: &mut Context) {
-        let rows = std::mem::take(&mut self.waiting);
+    fn pass_on_pending(&mut self, ctx: &mut Context) {
+        let rows = std::mem::take(&mut self.pending);
         if let (Some(view), false) = (self.current_view(ctx), rows.is_empty()) {
-            self.applied(view.no, &rows, ctx);
+            self.on_applications(view.no, &rows, ctx);
         }
     }
 
-    /// Records applications, and passes them on; the tail grants them.
-    fn applied(&mut self, no: ViewNo, rows: &[LeaseApplication], ctx: &mut Context) {
-        let Some(view) = self.current_view(ctx).filter(|v| v.no == no) else { return };
-        self.history.follow(&ctx.views.state);
+    /// Records applications and passes them on; the tail grants them.
+    fn on_applications(&mut self, view_no: ViewNo, rows: &[LeaseApplication], ctx: &mut Context) {
+        let Some(view) = self.current_view(ctx).filter(|v| v.no == view_no) else { return };
+        self.history.record(&ctx.views.state);
         if let Some(next) = view.after(ctx.me.node) {
             rows.iter().for_each(|a| self.record(a, ctx));
-            return ctx.chain(next, ChainMsg::LeaseApplications { view: no, rows: rows.to_vec() });
+            return ctx.chain(next, ChainMsg::LeaseApplications { view: view_no, rows: rows.to_vec() });
         }
-        if self.leads(ctx) {
-            rows.iter().for_each(|a| self.judge(a, ctx));
-            self.release(ctx);
+        if self.holds_tail_lease(ctx) {
+            rows.iter().for_each(|a| self.grant_or_note(a, ctx));
+            self.release_confirmed(ctx);
         }
     }
 
     fn record(&mut self, a: &LeaseApplication, ctx: &Context) {
-        self.end_earlier_lives(a);
+        self.drop_ended_processes(a);
         let until = ctx.now + ctx.me.serving_lease;
         let versions = a.request.versions.clone();
-        self.holders.insert(a.router, Holder { until, versions, address: a.address, number: a.number });
+        self.holders.insert(a.router, LeaseHolder { until, versions, address: a.address, number: a.number });
     }
 
-    /// The tail grants a lease to a router that has the newest of everything; else it only notes what it has.
-    fn judge(&mut self, a: &LeaseApplication, ctx: &mut Context) {
+    /// On the tail: grants a lease to a router that has the newest versions; otherwise only records which it has.
+    fn grant_or_note(&mut self, a: &LeaseApplication, ctx: &mut Context) {
         if self.history.is_newest(&a.request.versions) {
             self.record(a, ctx);
             let (nonce, grant, length) = (a.request.nonce, a.number, ctx.me.serving_lease);
             return ctx.send(a.router, Msg::ServingLeaseGrant(ServingLeaseGrant { nonce, grant, length }));
         }
-        self.end_earlier_lives(a);
-        let covered = self.history.covers(&a.request.versions);
+        self.drop_ended_processes(a);
+        let covered = self.history.covered_version(&a.request.versions);
         if let Some(holder) = self.holders.get_mut(&a.router)
-            && covered >= self.history.covers(&holder.versions)
+            && covered >= self.history.covered_version(&holder.versions)
         {
             holder.versions = a.request.versions.clone();
             holder.number = a.number;
         }
     }
 
-    /// A process that got a grant is alive after it. Another one at its address that had asked before has ended
-    /// since: two processes never hold one address at a time.
-    fn end_earlier_lives(&mut self, a: &LeaseApplication) {
+    /// Drops the leases of earlier processes at the same address. A process that received a grant was alive after
+    /// it, so another process at its address whose request came before that grant has ended: two processes never
+    /// have one address at a time.
+    fn drop_ended_processes(&mut self, a: &LeaseApplication) {
         if a.address.is_some() {
-            let ended = |id: &NodeId, h: &Holder| {
+            let ended = |id: &NodeId, h: &LeaseHolder| {
                 *id != a.router && h.address == a.address && h.number < a.request.last_grant
             };
             self.holders.retain(|id, h| !ended(id, h));
         }
     }
 
-    /// The newest version that no router can be behind of for longer than `proof` from now.
-    fn releasable(&mut self, ctx: &Context) -> Version {
+    /// The newest version that no router can be behind for longer than the freshness limit from now.
+    fn releasable_version(&mut self, ctx: &Context) -> Version {
         let horizon = ctx.now + ctx.me.freshness_limit;
         if self.unknown_until + CLOCK_DRIFT_MARGIN > horizon {
             return Version(0);
         }
         self.holders.retain(|_, h| h.until + CLOCK_DRIFT_MARGIN > horizon);
-        let confirmed = self.holders.values().map(|h| self.history.covers(&h.versions));
+        let confirmed = self.holders.values().map(|h| self.history.covered_version(&h.versions));
         confirmed.min().unwrap_or(ctx.views.state.at).min(ctx.views.state.at)
     }
 
-    fn release(&mut self, ctx: &mut Context) {
-        if !self.leads(ctx) {
+    fn release_confirmed(&mut self, ctx: &mut Context) {
+        if !self.holds_tail_lease(ctx) {
             return;
         }
-        self.history.follow(&ctx.views.state);
-        let upto = self.releasable(ctx);
-        self.raise(upto, ctx);
+        self.history.record(&ctx.views.state);
+        let upto = self.releasable_version(ctx);
+        self.publish_released(upto, ctx);
     }
 
-    fn raise(&mut self, upto: Version, ctx: &mut Context) {
+    fn publish_released(&mut self, upto: Version, ctx: &mut Context) {
         if upto > ctx.views.released {
             ctx.publish(JournalEvent::Released(upto));
-            self.tell(ctx);
+            self.send_released(ctx);
         }
     }
 
-    /// Tells the member before this one in the chain, which tells the one before it.
-    fn tell(&mut self, ctx: &mut Context) {
-        self.told = ctx.now;
+    /// Sends the released version to the previous member, which passes it on up the chain.
+    fn send_released(&mut self, ctx: &mut Context) {
+        self.released_sent_at = ctx.now;
         let Some(view) = self.current_view(ctx) else { return };
         if let Some(previous) = view.before(ctx.me.node) {
             let upto = ctx.views.released;
@@ -201,10 +204,10 @@
 
     fn tick(&mut self, ctx: &mut Context) {
         self.request_ledger(ctx);
-        self.pass_waiting(ctx);
-        self.release(ctx);
-        if ctx.now.since(self.told) >= REPEAT_INTERVAL {
-            self.tell(ctx);
+        self.pass_on_pending(ctx);
+        self.release_confirmed(ctx);
+        if ctx.now.since(self.released_sent_at) >= RELEASED_INTERVAL {
+            self.send_released(ctx);
         }
     }
 }
@@ -219,23 +222,23 @@
         match ev {
             Event::Journal(JournalEvent::Founded) => self.unknown_until = ctx.now,
             Event::Message { from, msg: Msg::ServingLeaseRequest(request), .. } => {
-                self.requested(*from, request, ctx)
+                self.on_lease_request(*from, request, ctx)
             }
             Event::Message { msg: Msg::Chain(ChainMsg::LeaseApplications { view, rows }), .. } => {
-                self.applied(*view, rows, ctx)
+                self.on_applications(*view, rows, ctx)
             }
             Event::Message {
                 from, msg: Msg::Chain(ChainMsg::LeaseLedgerRequest { view, nonce }), ..
-            } => self.ledger_requested(*from, *view, *nonce, ctx),
+            } => self.on_ledger_request(*from, *view, *nonce, ctx),
             Event::Message { msg: Msg::Chain(ChainMsg::LeaseLedger { view, nonce, ledger }), .. } => {
-                self.ledger_given(*view, *nonce, ledger, ctx)
+                self.on_ledger(*view, *nonce, ledger, ctx)
             }
             Event::Message { msg: Msg::Chain(ChainMsg::Released { view, upto }), .. }
                 if *view == ctx.views.role.view =>
             {
-                self.raise(*upto, ctx)
+                self.publish_released(*upto, ctx)
             }
-            Event::Journal(JournalEvent::Committed { .. }) => self.release(ctx),
+            Event::Journal(JournalEvent::Committed { .. }) => self.release_confirmed(ctx),
             Event::Tick => self.tick(ctx),
             _ => {}
         }
--- a/src/chain/view_change.rs
+++ b/src/chain/view_change.rs
@@ -1,8 +1,8 @@
-//! The proposer: changing the view when a member is lost, or takes a vacant vote.
+//! The proposer: changes the view when a member is lost or leaves, or when a vote is to be taken over.
 //!
-//! A proposer asks the voters of its view for promises, takes over the view accepted under the highest ballot
-//! among them if there is one, and has it accepted by a majority. Its ballot is synced before the first message
-//! leaves, so that a node that restarts never uses one ballot for two views.
+//! A proposer asks the voters of its view for promises (`Prepare`). If a promise reports an accepted view, the one
+//! with the highest ballot replaces its own. It then asks the voters to accept, and a majority decides. The ballot
+//! is synced before the first message leaves, so a restarted node never uses one ballot for two views.
 #![deny(missing_docs)]
 
 use super::acceptor::AcceptedView;
@@ -14,143 +14,147 @@
 use crate::msg::*;
 use std::collections::BTreeSet;
 
-/// A proposal without a decision is given up after this span.
+/// A proposal that is not decided after this time is dropped.
 pub const PROPOSAL_TIMEOUT: Span = Span::ms(1500);
 /// How often `Prepare` is repeated until a majority has promised.
-const PREPARE_AGAIN: Span = Span::ms(200);
+const PREPARE_INTERVAL: Span = Span::ms(200);
 /// Each place in the chain waits this much longer, so that the first live member proposes.
-const RANK_STEP_MS: u64 = 200;
-/// A lost member keeps its vote for this span; then a ready member without one takes it.
-const VOTE_KEPT: Span = Span::ms(1000);
-/// How long a new member puts off asking for a lease while it is given its vote.
-const VOTE_BEFORE_LEASE: Span = Span::ms(500);
-/// After losing to a higher ballot a proposer rests for this span and a random part.
-const REST: Span = Span::ms(100);
-const REST_SPREAD_MS: u64 = 400;
+pub(super) const RANK_STEP_MS: u64 = 200;
+/// After losing to a higher ballot a proposer waits this long, plus a random jitter.
+const BACKOFF: Span = Span::ms(100);
+const BACKOFF_JITTER_MS: u64 = 400;
 
 /// This node's own proposal of the next view.
 #[derive(Clone)]
 pub struct ViewProposal {
-    /// The number proposed.
-    pub no: ViewNo,
-    /// The ballot, this node's alone.
+    /// The number of the proposed view.
+    pub view_no: ViewNo,
+    /// The ballot, unique to this node.
     pub ballot: Ballot,
-    /// The view to be accepted.
-    pub want: View,
+    /// The view that the voters are asked to accept.
+    pub proposed_view: View,
     /// The voters that promised.
     pub promises: BTreeSet<NodeId>,
-    /// What was accepted under the highest ballot among those promises.
+    /// The view with the highest ballot among those that the promises report as accepted.
     pub accepted: Option<AcceptedView>,
     /// The voters that accepted.
     pub accepts: BTreeSet<NodeId>,
     /// Whether `Accept` was sent.
-    pub sent: bool,
+    pub is_accept_sent: bool,
     /// When the proposal began.
-    pub since: Time,
-    /// The member because of whose silence the view is to change.
-    pub lost: Option<NodeId>,
+    pub started_at: Time,
+    /// The first of the silent members that the view leaves out.
+    pub lost_member: Option<NodeId>,
     /// When `Prepare` was sent last.
-    pub asked: Time,
+    pub prepare_sent_at: Time,
 }
 
 impl Chain {
-    /// Leaves out members that fell silent; without any, leaves on purpose or takes a vacant vote.
-    pub fn repair(&mut self, ctx: &mut Context) {
+    /// Proposes a view without members that fell silent; failing that, leaves if this node was told to stop, or
+    /// takes over a vote.
+    pub fn repair_view(&mut self, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
-        if !self.in_chain() || !self.ready || !self.hears_majority(ctx.now) {
+        if !self.in_chain() || !self.is_ready || !self.hears_majority(ctx.now) {
             return;
         }
         if self.proposal.is_some() {
-            return self.ask_again(ctx);
+            return self.repeat_prepare(ctx);
         }
-        if ctx.now < self.acceptor.rest {
+        if ctx.now < self.acceptor.backoff_until {
             return;
         }
         if self.awaits_first_vote(ctx) {
-            return self.take_vote(&view, ctx);
+            return self.propose_own_vote(&view, ctx);
         }
-        if self.in_restart_wait(ctx.now) {
+        if self.is_in_restart_wait(ctx.now) {
             return;
         }
         let lost = self.silent_members(&view, ctx.now);
         if !lost.is_empty() {
-            self.leave_out(&view, &lost, ctx);
+            self.propose_without(&view, &lost, ctx);
         } else if self.departure.is_some() {
             self.propose_leaving(&view, ctx);
         } else {
-            self.take_vote(&view, ctx);
+            self.propose_own_vote(&view, ctx);
         }
     }
 
     fn silent_members(&self, view: &View, now: Time) -> Vec<NodeId> {
-        let silent = |n: &NodeId| *n != self.ident && self.quiet(*n, now) >= SILENCE_LIMIT;
+        let silent = |n: &NodeId| *n != self.node_id && self.silence(*n, now) >= SILENCE_LIMIT;
         view.chain.iter().copied().filter(silent).collect()
     }
 
-    fn leave_out(&mut self, view: &View, lost: &[NodeId], ctx: &mut Context) {
-        let longest = lost.iter().map(|n| self.quiet(*n, ctx.now)).max().unwrap_or_default();
+    fn propose_without(&mut self, view: &View, lost: &[NodeId], ctx: &mut Context) {
+        let longest = lost.iter().map(|n| self.silence(*n, ctx.now)).max().unwrap_or_default();
         let next = view.without(lost);
-        let rank = next.chain.iter().position(|n| *n == self.ident).unwrap_or(0) as u64;
+        let rank = next.chain.iter().position(|n| *n == self.node_id).unwrap_or(0) as u64;
         if longest < SILENCE_LIMIT + Span::ms(rank * RANK_STEP_MS) {
             return;
         }
-        if next.head() != view.head() && next.head() != Some(self.ident) {
+        if next.head() != view.head() && next.head() != Some(self.node_id) {
             return;
         }
         self.propose_view(next, lost.first().copied(), longest, ctx);
     }
 
-    /// Says `Prepare` again: voters may still hear the member that is to be left out, or not know this view yet.
-    fn ask_again(&mut self, ctx: &mut Context) {
+    /// Repeats `Prepare`: voters may have still heard the lost member, or not have known this view yet.
+    fn repeat_prepare(&mut self, ctx: &mut Context) {
         let Some(proposal) = &self.proposal else { return };
-        let (no, ballot, lost) = (proposal.no, proposal.ballot, proposal.lost);
-        if proposal.sent || ctx.now.since(proposal.asked) < PREPARE_AGAIN {
+        let (view_no, ballot, lost_member) = (proposal.view_no, proposal.ballot, proposal.lost_member);
+        if proposal.is_accept_sent || ctx.now.since(proposal.prepare_sent_at) < PREPARE_INTERVAL {
             return;
         }
-        let quiet = lost.map_or(Span(0), |n| self.quiet(n, ctx.now));
-        self.ask(ChainMsg::Prepare { no, ballot, lost, quiet }, ctx);
+        let silence = lost_member.map_or(Span(0), |n| self.silence(n, ctx.now));
+        self.send_to_voters(ChainMsg::Prepare { view_no, ballot, lost_member, silence }, ctx);
     }
 
-    /// Begins a proposal of `want`. The ballot is saved first; the kernel sends nothing before it is synced.
-    pub fn propose_view(&mut self, want: View, lost: Option<NodeId>, quiet: Span, ctx: &mut Context) {
+    /// Starts a proposal of the view `want`. The ballot is saved first; the kernel sends nothing before it is
+    /// synced. Does nothing if this node, or a majority of the voters, cannot write.
+    pub fn propose_view(
+        &mut self,
+        want: View,
+        lost_member: Option<NodeId>,
+        silence: Span,
+        ctx: &mut Context,
+    ) {
         let Some(view) = self.view.clone() else { return };
         if !self.can_write(ctx) || !self.has_writing_majority(ctx) {
             return;
         }
-        let round = self.acceptor.top.max(self.acceptor.promised.round) + 1;
-        let ballot = Ballot { round, node: self.ident };
-        let no = view.no.next();
-        self.acceptor.top = round;
-        self.acceptor.no = no;
+        let round = self.acceptor.highest_round.max(self.acceptor.promised.round) + 1;
+        let ballot = Ballot { round, node: self.node_id };
+        let view_no = view.no.next();
+        self.acceptor.highest_round = round;
+        self.acceptor.view_no = view_no;
         self.acceptor.promised = ballot;
-        ctx.save(Record::Promise { no, ballot });
-        ctx.log_event("proposal", format!("{want} by {}", self.ident));
+        ctx.save(Record::Promise { view_no, ballot });
+        ctx.log_event("proposal", format!("{want} by {}", self.node_id));
         self.proposal = Some(ViewProposal {
-            no,
+            view_no,
             ballot,
-            want,
+            proposed_view: want,
             promises: BTreeSet::new(),
             accepted: None,
             accepts: BTreeSet::new(),
-            sent: false,
-            since: ctx.now,
-            lost,
-            asked: ctx.now,
+            is_accept_sent: false,
+            started_at: ctx.now,
+            lost_member,
+            prepare_sent_at: ctx.now,
         });
-        self.ask(ChainMsg::Prepare { no, ballot, lost, quiet }, ctx);
+        self.send_to_voters(ChainMsg::Prepare { view_no, ballot, lost_member, silence }, ctx);
     }
 
-    /// Counts a promise; with a majority of them asks the voters to accept.
-    pub fn promised(
+    /// Counts a promise; once a majority has promised, asks the voters to accept.
+    pub fn on_promise(
         &mut self,
         from: NodeId,
-        no: ViewNo,
+        view_no: ViewNo,
         ballot: Ballot,
         accepted: &Option<AcceptedView>,
         ctx: &mut Context,
     ) {
         let (Some(view), Some(proposal)) = (&self.view, &mut self.proposal) else { return };
-        if proposal.no != no || proposal.ballot != ballot || !view.voters.contains(&from) {
+        if proposal.view_no != view_no || proposal.ballot != ballot || !view.voters.contains(&from) {
             return;
         }
         proposal.promises.insert(from);
@@ -159,92 +163,54 @@
         {
             proposal.accepted = Some(theirs.clone());
         }
-        if proposal.promises.len() < view.majority() || proposal.sent {
+        if proposal.promises.len() < view.majority() || proposal.is_accept_sent {
             return;
         }
-        proposal.sent = true;
+        proposal.is_accept_sent = true;
         if let Some(accepted) = &proposal.accepted {
-            proposal.want = accepted.view.clone();
+            proposal.proposed_view = accepted.view.clone();
         }
         for node in &view.voters {
-            ctx.chain(*node, ChainMsg::Accept { ballot, view: proposal.want.clone() });
+            ctx.chain(*node, ChainMsg::Accept { ballot, view: proposal.proposed_view.clone() });
         }
     }
 
-    /// Counts an acceptance; with a majority of them the view is decided.
-    pub fn accepted(&mut self, from: NodeId, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
+    /// Counts an acceptance; once a majority has accepted, the view is decided and sent to all members of both
+    /// views.
+    pub fn on_accepted(&mut self, from: NodeId, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) {
         let (Some(view), Some(proposal)) = (self.view.clone(), &mut self.proposal) else { return };
-        if proposal.no != no || proposal.ballot != ballot || !view.voters.contains(&from) {
+        if proposal.view_no != view_no || proposal.ballot != ballot || !view.voters.contains(&from) {
             return;
         }
         proposal.accepts.insert(from);
         if proposal.accepts.len() < view.majority() {
             return;
         }
-        let decided = proposal.want.clone();
+        let decided = proposal.proposed_view.clone();
         self.install(decided.clone(), ctx);
         let mut all = view.all();
         all.extend(decided.all());
         all.sort();
         all.dedup();
-        for node in all.into_iter().filter(|n| *n != self.ident) {
+        for node in all.into_iter().filter(|n| *n != self.node_id) {
             ctx.chain(node, ChainMsg::ViewDecided { view: decided.clone() });
         }
     }
 
-    fn ask(&mut self, msg: ChainMsg, ctx: &mut Context) {
+    fn send_to_voters(&mut self, msg: ChainMsg, ctx: &mut Context) {
         let (Some(view), Some(proposal)) = (&self.view, &mut self.proposal) else { return };
-        proposal.asked = ctx.now;
+        proposal.prepare_sent_at = ctx.now;
         for node in &view.voters {
             ctx.chain(*node, msg.clone());
         }
     }
 
-    /// A ready member without a vote proposes to take one: a new member at once, others when the lost member has
-    /// had time to come back. What makes it ready is synced by then, so its vote can be counted on.
-    fn take_vote(&mut self, view: &View, ctx: &mut Context) {
-        let Some(next) = self.view_with_my_vote(view, ctx) else { return };
-        let rank = self.vote_candidates(view, ctx.now).len() as u64 - 1;
-        let wait = VOTE_KEPT + Span::ms(rank * RANK_STEP_MS);
-        if self.awaits_first_vote(ctx) || ctx.now.since(self.viewed) >= wait {
-            self.propose_view(next, None, Span(0), ctx);
-        }
-    }
-
-    /// The next view in which this member has a vote, if it has none and there is one to take.
-    pub fn view_with_my_vote(&self, view: &View, ctx: &Context) -> Option<View> {
-        if !self.ready || self.departure.is_some() {
-            return None;
-        }
-        let candidates = self.vote_candidates(view, ctx.now);
-        if !candidates.contains(&self.ident) {
-            return None;
-        }
-        view.with_votes_for(&candidates, ctx.me)
-    }
-
-    /// Members without a vote that are heard: this node first if it is one, then those before it in the chain.
-    /// A member joins only behind a ready one, so with this node all before it are ready.
-    pub fn vote_candidates(&self, view: &View, now: Time) -> Vec<NodeId> {
-        let place = |n: &NodeId| view.chain.iter().position(|c| c == n);
-        let before = |n: &NodeId| place(n) <= place(&self.ident) && self.hears(*n, now) && !self.leaves(*n);
-        view.without_vote().into_iter().filter(before).collect()
-    }
-
-    /// Whether this node just became a ready member and there is a vote for it. It is then the tail, and no lease
-    /// runs yet that the change of votes would have to wait for, so it asks for its lease only afterwards.
-    pub fn awaits_first_vote(&self, ctx: &Context) -> bool {
-        let Some(view) = &self.view else { return false };
-        let new = ctx.now.since(self.ready_since) < VOTE_BEFORE_LEASE && !self.reported_ready;
-        new && self.view_with_my_vote(view, ctx).is_some()
-    }
-
-    /// Gives way to a higher ballot for a while.
-    pub fn nack(&mut self, no: ViewNo, ballot: Ballot, ctx: &mut Context) {
-        self.acceptor.top = self.acceptor.top.max(ballot.round);
-        if self.proposal.as_ref().is_some_and(|b| b.no == no && b.ballot < ballot) {
+    /// Drops the proposal in favour of a higher ballot and backs off.
+    pub fn on_nack(&mut self, view_no: ViewNo, ballot: Ballot, ctx: &mut Context) {
+        self.acceptor.highest_round = self.acceptor.highest_round.max(ballot.round);
+        if self.proposal.as_ref().is_some_and(|b| b.view_no == view_no && b.ballot < ballot) {
             self.proposal = None;
-            self.acceptor.rest = ctx.now + REST + Span::ms(ctx.rand.below(REST_SPREAD_MS));
+            self.acceptor.backoff_until = ctx.now + BACKOFF + Span::ms(ctx.rand.below(BACKOFF_JITTER_MS));
         }
     }
 }
--- a/src/daemon/config.rs
+++ b/src/daemon/config.rs
@@ -1,144 +1,56 @@
+//! The settings of a process, as its JSON file and the flags of [`super::command_line`] give them. The platform's own
+//! settings file is read in [`crate::platform::settings`].
+
 use crate::constraints::QuotaSettings;
 use crate::distribution::reader::SERVING_LEASE;
 use crate::json::{Reader, Tree};
-use crate::kernel::fault::{Fault, Kind};
+use crate::kernel::fault::Fault;
 use crate::kernel::ids::Name;
 use crate::msg::Role;
 use crate::protocol::Protocols;
-use pico_args::Arguments;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// The settings of one process. Those that [`NodeSettings`](super::assemble::NodeSettings) has too mean the same.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
+    /// Router or controller.
     pub role: Role,
+    /// Where other nodes reach this one.
     pub addr: SocketAddr,
+    /// Where operators reach it.
     pub admin: SocketAddr,
+    /// Where clients reach it; routers only.
     pub http: Option<SocketAddr>,
+    /// Its failure domain (zone).
     pub domain: Name,
+    /// Addresses of nodes that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    pub core: usize,
-    pub bear: usize,
-    pub first: bool,
+    /// How many controllers found the fleet; 0 means 2 x `tolerated_failures` + 1.
+    pub core_size: usize,
+    /// How many lost controllers the fleet tolerates.
+    pub tolerated_failures: usize,
+    /// Whether this node may take part in founding a fleet.
+    pub may_found: bool,
+    /// The data folder; controllers only.
     pub data: Option<PathBuf>,
+    /// The time limit of a shutdown.
     pub drain_ms: u64,
+    /// How long a router accepts requests after SIGTERM.
     pub lame_ms: u64,
-    pub proof_ms: u64,
-    pub lease_ms: u64,
+    /// How long a router may serve after its last proof that its configuration is current.
+    pub freshness_limit_ms: u64,
+    /// How long a router may continue while it reaches no controller.
+    pub serving_lease_ms: u64,
+    /// The protocols of clients, runners and operators.
     pub protocols: Protocols,
+    /// How exactly quotas are kept.
     pub quota: QuotaSettings,
-    pub lean: bool,
-}
-
-const KEYS: [&str; 13] = [
-    "address", "admin", "http", "domain", "seeds", "core", "bear", "first", "data", "drain_ms", "lame_ms",
-    "proof_ms", "lease_ms",
-];
-
-const WORD: &str = "I-KNOW-THE-OTHERS-ARE-LOST";
-
-pub const HELP: &str = "\
-Settings come from a JSON file (--config FILE), from flags, or from both; a flag wins.
-  --address IP:PORT   where the fleet's own processes reach this one
-  --admin IP:PORT     where operators and the platform reach it
-  --http IP:PORT      where callers reach it (router only)
-  --domain NAME       its zone
-  --seeds A,B,C       one to three addresses of processes, its own may be among them
-  --bear N            how many lost controllers must be borne (default 1)
-  --first BOOL        false once the fleet has been started before (default true)
-  --core N            how many controllers found the fleet, if not 2 x bear + 1
-  --data DIR          its data folder (controller only)
-  --drain-ms N        how long it may finish streams after a warning (default 8000)
-  --lame-ms N         after a warning, how long it goes on taking orders (default 0)
-  --proof-ms N        how long a router serves after its last proof that it knows the newest (default 2000)
-  --lease-ms N        how long a router may go on while no controller is reached (default 4500)
-  --check             check the settings, print the faults and end
-  --inspect           tell what this controller's data folder holds and end
-  --restore-as-only I-KNOW-THE-OTHERS-ARE-LOST
-                      make this copy the whole chain and end; see docs/operators/machines.md
-  --help              print this and end";
-
-pub enum Start {
-    Help,
-    Checked,
-    Inspect(NodeConfig),
-    Restore(NodeConfig),
-    Run(NodeConfig),
-}
-
-pub fn from_args(role: Role, mut args: Arguments) -> Result<Start, Vec<Fault>> {
-    if args.contains(["-h", "--help"]) {
-        return Ok(Start::Help);
-    }
-    let check = args.contains("--check");
-    let inspect = args.contains("--inspect");
-    let word = args.opt_value_from_str::<_, String>("--restore-as-only").unwrap_or(Some(String::new()));
-    let usage = |place: &str, what: String| vec![Fault::new(Kind::Usage, place, what, "see --help")];
-    let mut tree = match args.opt_value_from_str::<_, String>("--config") {
-        Err(e) => return Err(usage("--config", e.to_string())),
-        Ok(None) => Tree::Map(vec![]),
-        Ok(Some(path)) => {
-            let text = std::fs::read_to_string(&path).map_err(|e| {
-                vec![Fault::new(
-                    Kind::Config,
-                    path.clone(),
-                    e.to_string(),
-                    "name a file this process can read",
-                )]
-            })?;
-            Tree::parse(&text).map_err(|e| {
-                vec![Fault::new(Kind::Config, path.clone(), e, "write one well-formed JSON object")]
-            })?
-        }
-    };
-    for key in KEYS {
-        let flag = format!("--{}", key.replace('_', "-"));
-        let leak: &'static str = Box::leak(flag.into_boxed_str());
-        let got = args.opt_value_from_str::<_, String>(leak).map_err(|e| usage(leak, e.to_string()))?;
-        let Some(got) = got else { continue };
-        let value = match key {
-            "seeds" => Tree::List(got.split(',').map(Tree::from).collect()),
-            "core" | "bear" | "drain_ms" | "lame_ms" | "proof_ms" | "lease_ms" => {
-                got.parse::<u64>().map_or(Tree::Text(got), Tree::from)
-            }
-            "first" => got.parse::<bool>().map_or(Tree::Text(got), Tree::Bool),
-            _ => Tree::Text(got),
-        };
-        if let Tree::Map(rows) = &mut tree {
-            rows.retain(|r| r.0 != key);
-            rows.push((key.to_string(), value));
-        }
-    }
-    let rest = args.finish();
-    let mut bad: Vec<Fault> = rest
-        .iter()
-        .map(|a| Fault::new(Kind::Usage, a.to_string_lossy(), "is not a known flag", "see --help"))
-        .collect();
-    let read = read(role, &tree);
-    match read {
-        Ok(_) if word.as_ref().is_some_and(|w| w != WORD) => {
-            let what = "is not given with its word".to_string();
-            Err(vec![Fault::new(
-                Kind::Usage,
-                "--restore-as-only",
-                what,
-                format!("say {WORD}, if that is so"),
-            )])
-        }
-        Ok(config) if bad.is_empty() => Ok(match (check, inspect, word) {
-            (true, ..) => Start::Checked,
-            (_, true, _) => Start::Inspect(config),
-            (_, _, Some(_)) => Start::Restore(config),
-            _ => Start::Run(config),
-        }),
-        Ok(_) => Err(bad),
-        Err(more) => {
-            bad.extend(more);
-            Err(bad)
-        }
-    }
+    /// Whether the process runs its I/O on one thread.
+    pub is_single_threaded: bool,
 }
 
+/// The address under `key`; `None` with a fault if it is malformed, or missing although it `must` be there.
 fn address(r: &mut Reader, key: &'static str, must: bool) -> Option<SocketAddr> {
     let text = match (r.take(key), must) {
         (Some(Tree::Text(t)), _) => t.clone(),
@@ -158,6 +70,7 @@
     }
 }
 
+/// Reads and checks the settings of a process with `role`. Fails with all faults found.
 pub fn read(role: Role, tree: &Tree) -> Result<NodeConfig, Vec<Fault>> {
     let mut r = Reader::new("", tree);
     let addr = address(&mut r, "address", true);
@@ -185,9 +98,9 @@
             "give one to three addresses of the fleet's processes",
         );
     }
-    let core = r.num("core", Some(0), 2, 9) as usize;
-    let bear = r.num("bear", Some(1), 0, 4) as usize;
-    let first = r.flag("first", true);
+    let core_size = r.num("core", Some(0), 2, 9) as usize;
+    let tolerated_failures = r.num("bear", Some(1), 0, 4) as usize;
+    let may_found = r.flag("first", true);
     let data = r.take("data").cloned();
     let data = match (data, role) {
         (Some(Tree::Text(t)), Role::Controller) if !t.is_empty() => Some(PathBuf::from(t)),
@@ -203,8 +116,9 @@
     };
     let lame_ms = r.num("lame_ms", Some(0), 0, 600_000);
     let drain_ms = r.num("drain_ms", Some(8000), 0, 600_000);
-    let proof_ms = r.num("proof_ms", Some(2000), 1000, 60_000);
-    let lease_ms = r.num("lease_ms", Some(proof_ms.max(SERVING_LEASE.as_ms())), proof_ms, 120_000);
+    let freshness_limit_ms = r.num("proof_ms", Some(2000), 1000, 60_000);
+    let serving_lease_ms =
+        r.num("lease_ms", Some(freshness_limit_ms.max(SERVING_LEASE.as_ms())), freshness_limit_ms, 120_000);
     if let (Some(a), Some(b)) = (addr, admin)
         && (a == b || http == Some(a) || http == Some(b))
     {
@@ -214,7 +128,7 @@
     match (addr, admin) {
         (Some(addr), Some(admin)) if bad.is_empty() => {
             let domain = Name(domain);
-            let (protocols, lean) = (Protocols::default(), false);
+            let (protocols, is_single_threaded) = (Protocols::default(), false);
             Ok(NodeConfig {
                 role,
                 addr,
@@ -222,17 +136,17 @@
                 http,
                 domain,
                 seeds,
-                core,
-                bear,
-                first,
+                core_size,
+                tolerated_failures,
+                may_found,
                 data,
                 drain_ms,
                 lame_ms,
-                proof_ms,
-                lease_ms,
+                freshness_limit_ms,
+                serving_lease_ms,
                 protocols,
                 quota: QuotaSettings::default(),
-                lean,
+                is_single_threaded,
             })
         }
         _ => Err(bad),
--- a/src/daemon/keep.rs
+++ b/src/daemon/node_io.rs
@@ -1,4 +1,6 @@
-use super::effects::Run;
+//! Received messages on their way into the node, and the node's journal, status and figures on their way out.
+
+use super::effects::NodeRun;
 use super::input::Input;
 use crate::json::tree::{Tree, map};
 use crate::kernel::input_queue::{InputQueue, LaneState};
@@ -7,17 +9,19 @@
 use crate::kernel::time::{Span, Time};
 use crate::msg::*;
 
-pub fn letter(node: &mut Node, now: Time, l: Envelope) -> Vec<Effect> {
-    let mine = node.views.fleet;
-    let other = mine.0 != 0 && l.fleet.0 != 0 && mine != l.fleet;
-    if other || (l.to.0 != 0 && l.to != node.me.node) {
+/// Feeds a received message to the node. A message of another fleet or for another node is dropped.
+pub fn deliver(node: &mut Node, now: Time, envelope: Envelope) -> Vec<Effect> {
+    let own_fleet = node.views.fleet;
+    let is_other_fleet = own_fleet.0 != 0 && envelope.fleet.0 != 0 && own_fleet != envelope.fleet;
+    if is_other_fleet || (envelope.to.0 != 0 && envelope.to != node.me.node) {
         return vec![];
     }
-    node.feed(now, Event::Message { from: l.from, fleet: l.fleet, msg: l.msg })
+    node.feed(now, Event::Message { from: envelope.from, fleet: envelope.fleet, msg: envelope.msg })
 }
 
-pub fn show(node: &Node, shown: &mut u64) {
-    let at = *shown;
+/// Writes the entries of the node's journal from `logged_up_to` on to the log.
+pub fn log_journal(node: &Node, logged_up_to: &mut u64) {
+    let at = *logged_up_to;
     for (_, _, note) in node.journal.since(at) {
         match note {
             JournalEvent::Text(what, text) => log::info!(event = *what, note = text.clone(); ""),
@@ -25,11 +29,11 @@
             _ => {}
         }
     }
-    *shown = node.journal.len();
+    *logged_up_to = node.journal.len();
 }
 
-/// What the node of this process tells of itself, its disk and its inputs.
-pub(super) fn status(run: &Run, queue: &InputQueue<Input>, now: Time) -> Tree {
+/// The status document: the node, its disk and its inputs.
+pub(super) fn status(run: &NodeRun, queue: &InputQueue<Input>, now: Time) -> Tree {
     let mut all = node_status(&run.node, now);
     if let Some(kept) = &run.set_aside {
         all.merge(map(&[("disk", map(&[("damaged_log_kept_as", kept.as_str().into())]))]));
@@ -44,7 +48,7 @@
     all
 }
 
-/// Each lane as `length/oldest/longest wait/dropped/replaced`, times in milliseconds.
+/// Each lane as `name=length/oldest/longest wait/dropped/replaced`, times in milliseconds.
 pub(super) fn lanes_line(queue: &InputQueue<Input>, now: Time) -> String {
     let row = |(lane, s): (Lane, LaneState)| {
         let (oldest, longest) = (s.oldest.as_ms(), s.longest.as_ms());
@@ -70,7 +74,7 @@
     Tree::Map(rows)
 }
 
-/// Logs how long the steps of the last interval took, once it has ended; whether it has.
+/// Logs how long the node's steps took in the last interval, once it has ended; returns whether it has.
 pub fn log_step_times(node: &mut Node, now: Time) -> bool {
     let Some(figures) = node.step_times.as_mut().and_then(|times| times.ended(now)) else { return false };
     let (all, components, kinds) = (figures.all, figures.components(), figures.kinds());
--- a/src/distribution/history.rs
+++ b/src/distribution/history.rs
@@ -1,3 +1,5 @@
+//! The newest content of a topic, and the last steps that led to it.
+
 use super::delta::Delta;
 use crate::fleet::slice::Slice;
 use crate::kernel::ids::Version;
@@ -5,38 +7,53 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-const STEPS: usize = 16;
+/// How many steps are kept.
+const MAX_STEPS: usize = 16;
 
+/// A step from one version of a topic to the next.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct DeltaStep {
+    /// The version before.
     pub from: Version,
+    /// The version after.
     pub at: Version,
-    pub print: u32,
+    /// The checksum of the content after, which the receiver verifies.
+    pub checksum: u32,
+    /// The difference.
     pub delta: Delta,
 }
 
+/// The content of an update, relative to what the receiver has.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum UpdateBody {
+    /// Nothing has changed.
     Same,
+    /// The whole content.
     Whole(Arc<Slice>),
+    /// The steps from the receiver's version.
     Steps(Vec<Arc<DeltaStep>>),
 }
 
+/// The newest content of a topic and the steps to it.
 #[derive(Clone, Default)]
 pub struct ChangeHistory {
+    /// The version of the content.
     pub at: Version,
+    /// The content.
     pub slice: Option<Arc<Slice>>,
     steps: VecDeque<(Arc<DeltaStep>, usize)>,
     size: usize,
 }
 
 impl ChangeHistory {
-    pub fn raise(&mut self, at: Version, slice: Arc<Slice>) {
+    /// Replaces the content with that of a newer version, and keeps the step to it. Without a step the
+    /// older ones are dropped.
+    pub fn advance(&mut self, at: Version, slice: Arc<Slice>) {
         let raw = bitcode::encode(&*slice);
-        let (from, print) = (self.at, crc32fast::hash(&raw));
+        let (from, checksum) = (self.at, crc32fast::hash(&raw));
         let old = self.slice.as_ref().filter(|_| from < at);
         match old.and_then(|old| Delta::of(old, &slice)) {
-            Some(delta) => self.push(DeltaStep { from, at, print, delta }),
+            Some(delta) => self.push(DeltaStep { from, at, checksum, delta }),
             None => self.steps.clear(),
         }
         (self.at, self.size, self.slice) = (at, raw.len(), Some(slice));
@@ -45,12 +62,14 @@
     fn push(&mut self, step: DeltaStep) {
         let size = bitcode::encode(&step).len();
         self.steps.push_back((Arc::new(step), size));
-        if self.steps.len() > STEPS {
+        if self.steps.len() > MAX_STEPS {
             self.steps.pop_front();
         }
     }
 
-    pub fn follow(&mut self, steps: &[Arc<DeltaStep>]) -> bool {
+    /// Applies the steps that follow the current version; returns false, and changes nothing, if they don't
+    /// fit or the checksum differs.
+    pub fn apply_steps(&mut self, steps: &[Arc<DeltaStep>]) -> bool {
         let first = steps.iter().position(|s| s.from == self.at);
         let (Some(first), Some(old)) = (first, &self.slice) else { return false };
         let mut slice = Slice::clone(old);
@@ -60,7 +79,7 @@
             (slice, at) = (new, s.at);
         }
         let raw = bitcode::encode(&slice);
-        if steps.last().is_none_or(|s| s.print != crc32fast::hash(&raw)) {
+        if steps.last().is_none_or(|s| s.checksum != crc32fast::hash(&raw)) {
             return false;
         }
         steps[first..].iter().for_each(|s| self.push(DeltaStep::clone(s)));
@@ -68,7 +87,8 @@
         true
     }
 
-    pub fn body(&self, old: Version) -> UpdateBody {
+    /// What a receiver with version `old` needs: the steps if they are kept and smaller than the whole.
+    pub fn update_since(&self, old: Version) -> UpdateBody {
         let Some(slice) = &self.slice else { return UpdateBody::Same };
         if old == self.at && old > Version(0) {
             return UpdateBody::Same;
--- a/src/gate/learn.rs
+++ b/src/gate/learn.rs
@@ -1,7 +1,7 @@
 //! Updates of a balancer by new slices and reports.
 
 use super::core::Balancer;
-use super::wait::QUIET;
+use super::wait::TAKEOVER_WAIT;
 use crate::fleet::runner::RunnerReport;
 use crate::fleet::slice::ServiceSlice;
 use crate::kernel::ids::*;
@@ -24,7 +24,7 @@
         self.is_withdrawn = false;
         let old = self.slice.as_ref().map(|old| old.duty);
         if old.is_some_and(|t| t != slice.duty) {
-            self.throughput.quiet_until = now + QUIET;
+            self.throughput.quiet_until = now + TAKEOVER_WAIT;
         }
         self.throughput.retain_models(&slice);
         self.retry_budget.credit_percent = slice.budget.percent as f64;
--- a/src/gate/rehearse.rs
+++ b/src/gate/rehearse.rs
@@ -5,13 +5,13 @@
 use crate::fleet::routes::RouteTable;
 use crate::fleet::slice::route_rows;
 use crate::fleet::state::Candidate;
-use crate::http::sender::Kept;
+use crate::http::recent_requests::RecentRequest;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Clock, Time};
 use crate::msg::{RehearsalResult, RouteTraffic};
 
 /// Whether the candidate still offers what a recent request asked for.
-fn check_offered(c: &FleetConfig, k: &Kept) -> Result<(), String> {
+fn check_offered(c: &FleetConfig, k: &RecentRequest) -> Result<(), String> {
     let Some(svc) = c.service(&k.service) else { return Err(format!("service {} not offered", k.service)) };
     if svc.sort == ServiceKind::Plain {
         return Ok(());
@@ -27,7 +27,7 @@
 }
 
 /// Whether some runner holds the model.
-fn is_held(table: &BalancerTable, now: Time, k: &Kept) -> bool {
+fn is_held(table: &BalancerTable, now: Time, k: &RecentRequest) -> bool {
     let Some(balancer) = table.get(&k.service) else { return false };
     let balancer = balancer.lock().unwrap();
     let Some(slice) = &balancer.slice else { return false };
@@ -45,7 +45,12 @@
 }
 
 /// Whether the route, the body limit, the queue and the expected wait still fit.
-fn check_route(table: &BalancerTable, c: &FleetConfig, rows: &RouteTable, k: &Kept) -> Result<(), String> {
+fn check_route(
+    table: &BalancerTable,
+    c: &FleetConfig,
+    rows: &RouteTable,
+    k: &RecentRequest,
+) -> Result<(), String> {
     if k.path.is_empty() {
         return Ok(());
     }
@@ -55,8 +60,8 @@
     if !row.leads_to(&k.service) {
         return Err(format!("{} would go to {} instead of {}", k.path, row.service, k.service));
     }
-    if k.kb > row.route.body_kb {
-        return Err(format!("a body of {} KB is over the route's {}", k.kb, row.route.body_kb));
+    if k.body_kb > row.route.body_kb {
+        return Err(format!("a body of {} KB is over the route's {}", k.body_kb, row.route.body_kb));
     }
     let (Some(balancer), Some(new)) = (table.get(&k.service), c.service(&k.service)) else { return Ok(()) };
     let balancer = balancer.lock().unwrap();
@@ -78,7 +83,7 @@
 const LIVE_ROUTES_MAX: usize = 8;
 
 /// The routes of recent requests, the most used first.
-pub fn live(table: &BalancerTable, now: Time, seen: &[Kept]) -> Vec<RouteTraffic> {
+pub fn live(table: &BalancerTable, now: Time, seen: &[RecentRequest]) -> Vec<RouteTraffic> {
     let mut rows: Vec<RouteTraffic> = Vec::new();
     for k in seen {
         let Some((_, Some(r))) = table.find_route(now, &k.host, &k.path) else { continue };
@@ -102,18 +107,18 @@
     table: &BalancerTable,
     clock: &dyn Clock,
     trial: &Candidate,
-    seen: &[Kept],
+    seen: &[RecentRequest],
 ) -> RehearsalResult {
     let mut out = RehearsalResult { id: trial.id, ..RehearsalResult::default() };
     let samples = trial.config.rollout.samples.iter();
-    let samples: Vec<Kept> = samples
-        .map(|sample| Kept {
+    let samples: Vec<RecentRequest> = samples
+        .map(|sample| RecentRequest {
             service: sample.service.clone(),
             model: sample.model.clone(),
             adapter: Name::default(),
             host: String::new(),
             path: String::new(),
-            kb: 0,
+            body_kb: 0,
         })
         .collect();
     let routes = RouteTable::from(route_rows(&trial.config));
--- a/src/gate/wait.rs
+++ b/src/gate/wait.rs
@@ -8,7 +8,7 @@
 
 /// Longest delay suggested to a client, in seconds.
 const RETRY_AFTER_MAX_S: u64 = 600;
-pub use crate::placement::duty::QUIET;
+pub use crate::placement::component::TAKEOVER_WAIT;
 
 /// Seconds to suggest to a client for a wait.
 pub fn retry_s(wait: Span) -> u64 {
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,8 +1,8 @@
-//! Connections from clients and the limits on them: how long a head may take once its first byte came, and how
-//! long a connection may rest between requests. A connection over its limit reads as ended, so that a request
-//! already under way on it is never cut.
+//! The state of client connections and the limits on them: how long a request head may take after its first byte, and
+//! how long a connection may stay idle between requests. A connection over a limit reads as end of file, so that a
+//! request already in progress on it is never cut.
 
-use super::guard::unacknowledged;
+use super::guard::unacknowledged_bytes;
 use crate::fleet::config::Limits;
 use crate::kernel::time::{Clock, Span, Time};
 use std::os::fd::RawFd;
@@ -10,24 +10,24 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::task::{Context, Waker};
 
-/// The least buffer that the library allows for a head.
-const LEAST_HEAD_BUFFER: usize = 8192;
-/// Room in the buffer beyond the longest head, so that the exact limit is judged on the parsed head.
+/// The smallest read buffer that hyper accepts.
+const HEAD_BUFFER_MIN: usize = 8192;
+/// Buffer space beyond the longest head, so that the exact limit is checked on the parsed head.
 const HEAD_BUFFER_SLACK: usize = 4096;
 
 /// What a client's connection is doing.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
-    /// Between requests, allowed to rest for `limit`.
-    Resting { since: Time, limit: Span },
-    /// A head has begun to come.
-    Head { since: Time },
-    /// A request is under way.
+    /// Between requests; may stay idle for `limit`.
+    Idle { since: Time, limit: Span },
+    /// Part of a request head has arrived.
+    ReadingHead { since: Time },
+    /// A request is being served.
     Serving,
-    /// The answer is whole here; part of it is not yet written to the socket.
+    /// The answer is complete; part of it is not yet written to the socket.
     Flushing,
     /// Over a limit: nothing more is read.
-    Ended,
+    Expired,
 }
 
 struct State {
@@ -35,33 +35,33 @@
     reader: Option<Waker>,
 }
 
-/// One client's connection.
+/// The connection of one client.
 pub struct ClientConnection {
     state: Mutex<State>,
-    all: Arc<ClientConnections>,
-    head_limit: u64,
+    connections: Arc<ClientConnections>,
+    head_max_bytes: u64,
     socket: Mutex<Option<RawFd>>,
     ended_by_close: AtomicBool,
-    broken: AtomicBool,
+    is_broken: AtomicBool,
 }
 
-/// All connections of clients, and the limits in force.
+/// All client connections and the limits in force.
 pub struct ClientConnections {
     clock: Arc<dyn Clock>,
     limits: Mutex<Limits>,
     open: Mutex<Vec<Weak<ClientConnection>>>,
-    /// The process is about to end: a connection closes once its client has all of its answer.
+    /// The process is shutting down: a connection closes only once its client has all of its answer.
     stopping: AtomicBool,
 }
 
 impl ClientConnections {
-    /// No connections yet, and the limits that hold until a configuration is known.
+    /// Creates an empty set with the default limits, which hold until a configuration is known.
     pub fn new(clock: Arc<dyn Clock>) -> Arc<ClientConnections> {
         let (limits, open) = (Mutex::new(Limits::default()), Mutex::default());
         Arc::new(ClientConnections { clock, limits, open, stopping: AtomicBool::new(false) })
     }
 
-    /// From now on connections close only once their clients have all of their answers.
+    /// Starts the shutdown: from now on a connection closes only once its client has all of its answer.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
@@ -71,109 +71,115 @@
         self.limits.lock().unwrap().clone()
     }
 
-    /// How many connections have a request under way, or an answer that its client has not wholly acknowledged.
-    pub fn serving(&self) -> usize {
-        self.count(|c| matches!(c.phase(), Phase::Serving | Phase::Flushing) || c.unacknowledged() > 0)
+    /// How many connections are serving a request or have an answer that the client has not fully acknowledged.
+    pub fn count_serving(&self) -> usize {
+        self.count(|c| matches!(c.phase(), Phase::Serving | Phase::Flushing) || c.unacknowledged_bytes() > 0)
     }
 
-    /// How many connections have sent part of a head that is not yet whole.
-    pub fn begun(&self) -> usize {
-        self.count(|c| matches!(c.phase(), Phase::Head { .. }))
+    /// How many connections have sent an incomplete request head.
+    pub fn count_reading_head(&self) -> usize {
+        self.count(|c| matches!(c.phase(), Phase::ReadingHead { .. }))
     }
 
-    fn count(&self, is: impl Fn(&ClientConnection) -> bool) -> usize {
+    fn count(&self, holds: impl Fn(&ClientConnection) -> bool) -> usize {
         let open = self.open.lock().unwrap();
-        open.iter().filter_map(Weak::upgrade).filter(|c| is(c)).count()
+        open.iter().filter_map(Weak::upgrade).filter(|c| holds(c)).count()
     }
 
-    /// Takes in a new connection.
+    /// Registers a new connection.
     pub fn add(self: &Arc<ClientConnections>) -> Arc<ClientConnection> {
         let limits = self.limits();
-        let phase = Phase::Resting { since: self.clock.now(), limit: Span::ms(limits.idle_ms) };
+        let phase = Phase::Idle { since: self.clock.now(), limit: Span::ms(limits.idle_ms) };
         let state = Mutex::new(State { phase, reader: None });
-        let head_limit = limits.head_bytes;
-        let (ended_by_close, broken) = (AtomicBool::new(false), AtomicBool::new(false));
-        let all = self.clone();
+        let head_max_bytes = limits.head_bytes;
+        let (ended_by_close, is_broken) = (AtomicBool::new(false), AtomicBool::new(false));
+        let connections = self.clone();
         let socket = Mutex::default();
-        let connection =
-            Arc::new(ClientConnection { state, all, head_limit, socket, ended_by_close, broken });
+        let connection = Arc::new(ClientConnection {
+            state,
+            connections,
+            head_max_bytes,
+            socket,
+            ended_by_close,
+            is_broken,
+        });
         self.open.lock().unwrap().push(Arc::downgrade(&connection));
         connection
     }
 
-    /// Takes over the limits in force and ends the connections that are over them.
+    /// Sets the limits in force and expires the connections that are over them.
     pub fn sweep(&self, limits: Limits) {
         *self.limits.lock().unwrap() = limits.clone();
         let now = self.clock.now();
         let mut open = self.open.lock().unwrap();
         open.retain(|row| {
             let Some(connection) = row.upgrade() else { return false };
-            connection.end_if_over(now, &limits);
+            connection.expire_if_over(now, &limits);
             true
         });
     }
 }
 
 impl ClientConnection {
-    /// The buffer for a head on this connection.
+    /// The size of the read buffer for a request head on this connection, in bytes.
     pub fn head_buffer(&self) -> usize {
-        (self.head_limit as usize).max(LEAST_HEAD_BUFFER) + HEAD_BUFFER_SLACK
+        (self.head_max_bytes as usize).max(HEAD_BUFFER_MIN) + HEAD_BUFFER_SLACK
     }
 
-    /// Whether heads may by now be longer than this connection was made for.
+    /// Whether the limit on heads has grown beyond this connection's read buffer.
     pub fn is_outgrown(&self) -> bool {
-        self.all.limits.lock().unwrap().head_bytes > self.head_limit
+        self.connections.limits.lock().unwrap().head_bytes > self.head_max_bytes
     }
 
-    /// A request has been read; false if the connection is over a limit.
-    pub fn begin(&self) -> bool {
+    /// Records that a request head was read. False if the connection is over a limit and must not serve it.
+    pub fn begin_request(&self) -> bool {
         let mut state = self.state.lock().unwrap();
-        if state.phase == Phase::Ended {
+        if state.phase == Phase::Expired {
             return false;
         }
         state.phase = Phase::Serving;
         true
     }
 
-    /// The client takes the end of the connection for the end of an answer (HTTP/1.0).
-    pub fn ends_by_close(&self) {
+    /// Records that the client takes the close of the connection as the end of an answer (HTTP/1.0).
+    pub fn set_ended_by_close(&self) {
         self.ended_by_close.store(true, Ordering::SeqCst);
     }
 
-    /// The answer under way can't be completed.
-    pub fn break_off(&self) {
-        self.broken.store(true, Ordering::SeqCst);
+    /// Records that the answer in progress can't be completed.
+    pub fn mark_broken_off(&self) {
+        self.is_broken.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the client takes the end of the connection for the end of an answer.
+    /// Whether the client takes the close of the connection as the end of an answer.
     pub(super) fn is_ended_by_close(&self) -> bool {
         self.ended_by_close.load(Ordering::SeqCst)
     }
 
-    /// Whether the answer under way can't be completed.
+    /// Whether the answer in progress can't be completed.
     pub(super) fn is_broken_off(&self) -> bool {
-        self.broken.load(Ordering::SeqCst)
+        self.is_broken.load(Ordering::SeqCst)
     }
 
-    /// The whole answer was taken over for writing.
-    pub fn taken(&self) {
+    /// Records that hyper has taken the whole answer for writing.
+    pub fn body_taken(&self) {
         let mut state = self.state.lock().unwrap();
-        if state.phase != Phase::Ended {
+        if state.phase != Phase::Expired {
             state.phase = Phase::Flushing;
         }
     }
 
-    /// All that was to be written reached the socket: after an answer, the connection begins to rest.
-    pub(super) fn flushed(&self) {
-        let limit = Span::ms(self.all.limits.lock().unwrap().idle_ms);
-        let since = self.all.clock.now();
+    /// Records that all written bytes have reached the socket. After an answer, the connection becomes idle.
+    pub(super) fn socket_flushed(&self) {
+        let limit = Span::ms(self.connections.limits.lock().unwrap().idle_ms);
+        let since = self.connections.clock.now();
         let mut state = self.state.lock().unwrap();
         if state.phase == Phase::Flushing {
-            state.phase = Phase::Resting { since, limit };
+            state.phase = Phase::Idle { since, limit };
         }
     }
 
-    /// The connection's socket, as long as it is open.
+    /// Sets the connection's socket; `None` once it is closed.
     pub(super) fn set_socket(&self, socket: Option<RawFd>) {
         *self.socket.lock().unwrap() = socket;
     }
@@ -182,44 +188,48 @@
         self.state.lock().unwrap().phase
     }
 
-    /// Whether a close has to wait: what a closed socket has unread would reset what its client has not yet.
-    pub(super) fn lingers(&self) -> bool {
-        self.all.stopping.load(Ordering::SeqCst) && !self.is_broken_off() && self.unacknowledged() > 0
+    /// Whether the close has to wait for the client's acknowledgement: if a socket is closed with unread input, the
+    /// kernel resets the connection and the client loses the bytes it has not received yet.
+    pub(super) fn must_linger(&self) -> bool {
+        self.connections.stopping.load(Ordering::SeqCst)
+            && !self.is_broken_off()
+            && self.unacknowledged_bytes() > 0
     }
 
-    /// The bytes that were written to the socket and that the client has not acknowledged.
-    fn unacknowledged(&self) -> u64 {
+    /// How many bytes written to the socket the client has not acknowledged.
+    fn unacknowledged_bytes(&self) -> u64 {
         let socket = self.socket.lock().unwrap();
-        socket.and_then(unacknowledged).map_or(0, |bytes| bytes.max(0) as u64)
+        socket.and_then(unacknowledged_bytes).map_or(0, |bytes| bytes.max(0) as u64)
     }
 
-    pub(super) fn heard(&self) {
+    /// Records that bytes arrived: an idle connection begins to read a head.
+    pub(super) fn bytes_received(&self) {
         let mut state = self.state.lock().unwrap();
-        if let Phase::Resting { .. } = state.phase {
-            state.phase = Phase::Head { since: self.all.clock.now() };
+        if let Phase::Idle { .. } = state.phase {
+            state.phase = Phase::ReadingHead { since: self.connections.clock.now() };
         }
     }
 
-    fn end_if_over(&self, now: Time, limits: &Limits) {
+    fn expire_if_over(&self, now: Time, limits: &Limits) {
         let mut state = self.state.lock().unwrap();
         let over = match state.phase {
-            // The longer of the limits that held while it rested: a client may know the older one.
-            Phase::Resting { since, limit } => now.since(since) > limit.max(Span::ms(limits.idle_ms)),
-            Phase::Head { since } => now.since(since) > Span::ms(limits.head_ms),
-            Phase::Serving | Phase::Flushing | Phase::Ended => false,
+            // The longer of the limits that held while it was idle: the client may know only the older one.
+            Phase::Idle { since, limit } => now.since(since) > limit.max(Span::ms(limits.idle_ms)),
+            Phase::ReadingHead { since } => now.since(since) > Span::ms(limits.head_ms),
+            Phase::Serving | Phase::Flushing | Phase::Expired => false,
         };
         if over {
-            state.phase = Phase::Ended;
+            state.phase = Phase::Expired;
             if let Some(reader) = state.reader.take() {
                 reader.wake();
             }
         }
     }
 
-    /// True if nothing more may be read; else `cx` is woken when that changes.
-    pub(super) fn poll_ended(&self, cx: &Context) -> bool {
+    /// True if the connection is over a limit and nothing more may be read; otherwise `cx` is woken when that changes.
+    pub(super) fn poll_expired(&self, cx: &Context) -> bool {
         let mut state = self.state.lock().unwrap();
-        if state.phase == Phase::Ended {
+        if state.phase == Phase::Expired {
             return true;
         }
         if state.reader.as_ref().is_none_or(|w| !w.will_wake(cx.waker())) {
--- a/src/http/exchange.rs
+++ b/src/http/exchange.rs
@@ -1,6 +1,6 @@
-//! A request under way on a connection, and its answer once that was judged to belong to it.
+//! A request in flight on a connection, and its answer once that was found to belong to the request.
 
-use super::connection::{Link, Resting};
+use super::connection::{IdleConnection, Transport};
 use crate::forwarding::AnswerEnd;
 use crate::protocol::ResponseOrigin;
 use bytes::{Bytes, BytesMut};
@@ -9,31 +9,31 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
 
-/// The body of an answer ended before its framing said so, or is too long.
+/// The body of an answer ended before its framed end, or is longer than the caller accepts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct BodyBroken;
 
-/// A request that was sent and whose answer has a head, not yet known to belong to it.
+/// A request that was sent and an answer head that is not yet known to belong to it.
 pub struct Exchange {
-    link: Link,
+    transport: Transport,
     response: Response<Incoming>,
 }
 
-/// An answer as its head was judged.
-pub enum Judged {
+/// An answer, classified by its head.
+pub enum Classified {
     /// The runner's own answer to this request.
-    Own(Answer),
-    /// The runner's word that it did not run the request.
-    NotRun(Answer),
-    /// The word that another runner, or none of this kind, is there; it did not run the request.
-    NotMine(Answer),
-    /// No answer to this request; the connection is gone.
+    Own(RunnerAnswer),
+    /// The runner states that it did not execute the request.
+    NotExecuted(RunnerAnswer),
+    /// A different instance is at this address; it did not execute the request.
+    Misdirected(RunnerAnswer),
+    /// Not an answer to this request; the connection is given up.
     Stray,
 }
 
 impl Exchange {
-    pub(super) fn new(link: Link, response: Response<Incoming>) -> Exchange {
-        Exchange { link, response }
+    pub(super) fn new(transport: Transport, response: Response<Incoming>) -> Exchange {
+        Exchange { transport, response }
     }
 
     /// The status of the answer.
@@ -46,25 +46,26 @@
         self.response.headers()
     }
 
-    /// Keeps the answer only if `judge` finds that it belongs to the request. An interim status never does.
-    pub fn judge(self, judge: impl FnOnce(u16, &HeaderMap) -> ResponseOrigin) -> Judged {
+    /// Keeps the answer only if `judge` finds that it belongs to the request. An answer with a 1xx status never does.
+    pub fn judge(self, judge: impl FnOnce(u16, &HeaderMap) -> ResponseOrigin) -> Classified {
         if self.response.status().is_informational() {
-            return Judged::Stray;
+            return Classified::Stray;
         }
         let verdict = judge(self.status(), self.headers());
-        let end = end_of(&self.response);
-        let answer = Answer { link: self.link, response: self.response, end, whole: false };
+        let end = end_marking(&self.response);
+        let answer =
+            RunnerAnswer { transport: self.transport, response: self.response, end, is_read_to_end: false };
         match verdict {
-            ResponseOrigin::Own => Judged::Own(answer),
-            ResponseOrigin::NotExecuted => Judged::NotRun(answer),
-            ResponseOrigin::Misdirected => Judged::NotMine(answer),
-            ResponseOrigin::Stray => Judged::Stray,
+            ResponseOrigin::Own => Classified::Own(answer),
+            ResponseOrigin::NotExecuted => Classified::NotExecuted(answer),
+            ResponseOrigin::Misdirected => Classified::Misdirected(answer),
+            ResponseOrigin::Stray => Classified::Stray,
         }
     }
 }
 
-/// How the end of an answer is said that has not been read yet. One that can have no body is known to the library.
-fn end_of(response: &Response<Incoming>) -> AnswerEnd {
+/// How the end of an unread answer is marked. hyper itself reports the end of one that can have no body.
+fn end_marking(response: &Response<Incoming>) -> AnswerEnd {
     let headers = response.headers();
     let framed = headers.contains_key(TRANSFER_ENCODING) || headers.contains_key(CONTENT_LENGTH);
     match framed || response.body().is_end_stream() {
@@ -74,14 +75,14 @@
 }
 
 /// An answer that belongs to the request of its connection.
-pub struct Answer {
-    link: Link,
+pub struct RunnerAnswer {
+    transport: Transport,
     response: Response<Incoming>,
     end: AnswerEnd,
-    whole: bool,
+    is_read_to_end: bool,
 }
 
-impl Answer {
+impl RunnerAnswer {
     /// The status of the answer.
     pub fn status(&self) -> u16 {
         self.response.status().as_u16()
@@ -92,12 +93,12 @@
         self.response.headers()
     }
 
-    /// How the end of the body is said.
+    /// How the end of the body is marked: by its framing or by the close of the connection.
     pub fn end(&self) -> AnswerEnd {
         self.end
     }
 
-    /// The next bytes of the body; none after its framed end.
+    /// The next bytes of the body; `None` after its end.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BodyBroken> {
         loop {
             match self.response.body_mut().frame().await {
@@ -108,14 +109,14 @@
                 }
                 Some(Err(_)) => return Err(BodyBroken),
                 None => {
-                    self.whole = true;
+                    self.is_read_to_end = true;
                     return Ok(None);
                 }
             }
         }
     }
 
-    /// The whole body, if it has no more than `limit` bytes.
+    /// The whole body. Fails if it breaks off or has more than `limit` bytes.
     pub async fn collect(&mut self, limit: usize) -> Result<Bytes, BodyBroken> {
         if self.response.body().size_hint().lower() > limit as u64 {
             return Err(BodyBroken);
@@ -134,11 +135,11 @@
         Ok(all.freeze())
     }
 
-    /// The connection at rest, if the answer was read to its end and the peer keeps the connection.
-    pub fn finish(self) -> Option<Resting> {
-        if !self.whole {
+    /// The connection for reuse, if the answer was read to its end and the peer keeps the connection open.
+    pub fn into_idle_connection(self) -> Option<IdleConnection> {
+        if !self.is_read_to_end {
             return None;
         }
-        self.link.rest(self.response.headers())
+        self.transport.into_idle(self.response.headers())
     }
 }
--- a/src/http/forward.rs
+++ b/src/http/forward.rs
@@ -1,16 +1,15 @@
-//! Forwarding one request: carries out what the forwarding's state machine decides.
+//! Forwards one request: feeds the state machine in [`crate::forwarding`] with events and carries out its decisions.
 
-use super::answer::{OutBody, own, refused};
-use super::attempt::{self, Attempt, AttemptEvent, ForwardedRequest};
-use super::body::{BodyWriter, streamed};
+use super::answer::AnswerBody;
+use super::attempt::{AttemptEvent, ForwardedRequest};
+use super::body::BodyWriter;
 use super::pool::Pool;
 use crate::forwarding::request::AttemptNo;
-use crate::forwarding::{FlowAction, FlowEvent, RequestFlow};
+use crate::forwarding::{FlowEvent, RequestFlow};
 use crate::gate::{Balancer, RequestSpec, RoutingDecision};
 use crate::kernel::time::Clock;
 use crate::protocol::{CallerProtocol, Protocols, RunnerProtocol};
-use bytes::Bytes;
-use http_body_util::BodyExt;
+use effects::EffectOutcome;
 use hyper::Response;
 use hyper::header::HeaderMap;
 use std::collections::BTreeMap;
@@ -19,92 +18,102 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 
-const TICK: Duration = Duration::from_millis(50);
-const STALL: Duration = Duration::from_secs(30);
+mod effects;
 
-/// The work on one request.
+/// How often the state machine is given the time.
+const TICK_PERIOD: Duration = Duration::from_millis(50);
+/// One request being forwarded. Dropping it cancels the request.
 pub struct Forwarder {
+    /// The gate of the request's service.
     pub balancer: Arc<Mutex<Balancer>>,
+    /// The connections to runners.
     pub pool: Arc<Pool>,
+    /// The clock that deadlines are read from.
     pub clock: Arc<dyn Clock>,
-    pub shape: Arc<ForwardedRequest>,
+    /// The request as each attempt sends it.
+    pub forwarded: Arc<ForwardedRequest>,
+    /// The protocol of the runners.
     pub side: Arc<dyn RunnerProtocol>,
+    /// The protocol of the client.
     pub caller: Arc<dyn CallerProtocol>,
+    /// The state machine.
     request: RequestFlow,
+    /// The running attempts.
     attempts: BTreeMap<AttemptNo, JoinHandle<()>>,
-    heads: BTreeMap<AttemptNo, (u16, HeaderMap)>,
-    tx: mpsc::Sender<AttemptEvent>,
-    woken: mpsc::UnboundedSender<RoutingDecision>,
-    first: Option<oneshot::Sender<Response<OutBody>>>,
+    /// Status and headers of answers that the state machine has not chosen yet.
+    headers: BTreeMap<AttemptNo, (u16, HeaderMap)>,
+    event_tx: mpsc::Sender<AttemptEvent>,
+    wake_tx: mpsc::UnboundedSender<RoutingDecision>,
+    response_tx: Option<oneshot::Sender<Response<AnswerBody>>>,
     body: Option<BodyWriter>,
 }
 
-/// What became of one effect.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Acted {
-    Done,
-    /// The client takes no more, or not in time; no effect that was to follow may be carried out.
-    ClientGone,
-}
-
 /// A request to be forwarded.
 pub struct ForwardJob {
+    /// The parameters of the request.
     pub order: RequestSpec,
-    pub shape: Arc<ForwardedRequest>,
+    /// The request as each attempt sends it.
+    pub forwarded: Arc<ForwardedRequest>,
+    /// The protocols of the client and of the runners.
     pub protocols: Protocols,
 }
 
-/// Forwards a request until its answer is whole, broken off or nobody waits for it any more.
+/// Forwards a request until its answer is complete or broken off, or the client is gone. The head of the answer, or a
+/// refusal, goes to `response_tx`.
 pub async fn forward(
     balancer: Arc<Mutex<Balancer>>,
     pool: Arc<Pool>,
     clock: Arc<dyn Clock>,
     job: ForwardJob,
-    first: oneshot::Sender<Response<OutBody>>,
+    response_tx: oneshot::Sender<Response<AnswerBody>>,
 ) {
-    let (tx, mut rx) = mpsc::channel(16);
-    let (woken, mut wakes) = mpsc::unbounded_channel();
-    let mut c = Forwarder {
+    let (event_tx, mut event_rx) = mpsc::channel(16);
+    let (wake_tx, mut wake_rx) = mpsc::unbounded_channel();
+    let mut forwarder = Forwarder {
         balancer,
         pool,
         clock,
-        shape: job.shape,
+        forwarded: job.forwarded,
         side: job.protocols.runner,
         caller: job.protocols.caller,
         request: RequestFlow::new(job.order),
         attempts: BTreeMap::new(),
-        heads: BTreeMap::new(),
-        tx,
-        woken,
-        first: Some(first),
+        headers: BTreeMap::new(),
+        event_tx,
+        wake_tx,
+        response_tx: Some(response_tx),
         body: None,
     };
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(TICK_PERIOD);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    c.step(FlowEvent::Start).await;
-    while !c.request.is_over {
-        let ev = tokio::select! {
-            Some(plan) = wakes.recv() => FlowEvent::Routed(plan),
-            Some(ev) = rx.recv() => match ev {
-                AttemptEvent::Step(ev) => ev,
-                AttemptEvent::Head((attempt, status, heads)) => {
-                    c.heads.insert(attempt, (status, heads));
+    forwarder.step(FlowEvent::Start).await;
+    while !forwarder.request.is_over {
+        let event = tokio::select! {
+            Some(plan) = wake_rx.recv() => FlowEvent::Routed(plan),
+            Some(event) = event_rx.recv() => match event {
+                AttemptEvent::Step(event) => event,
+                AttemptEvent::Head((attempt, status, headers)) => {
+                    forwarder.headers.insert(attempt, (status, headers));
                     continue;
                 }
             },
-            _ = gone(&mut c.first, &c.body) => FlowEvent::ClientGone,
+            _ = client_gone(&mut forwarder.response_tx, &forwarder.body) => FlowEvent::ClientGone,
             _ = tick.tick() => FlowEvent::Tick,
         };
-        c.step(ev).await;
+        forwarder.step(event).await;
     }
-    wakes.close();
-    while let Ok(plan) = wakes.try_recv() {
-        c.step(FlowEvent::Routed(plan)).await;
+    wake_rx.close();
+    while let Ok(plan) = wake_rx.try_recv() {
+        forwarder.step(FlowEvent::Routed(plan)).await;
     }
 }
 
-async fn gone(first: &mut Option<oneshot::Sender<Response<OutBody>>>, body: &Option<BodyWriter>) {
-    match (first, body) {
+/// Returns once the client waits neither for the head nor for the body of its answer any more.
+async fn client_gone(
+    response_tx: &mut Option<oneshot::Sender<Response<AnswerBody>>>,
+    body: &Option<BodyWriter>,
+) {
+    match (response_tx, body) {
         (Some(f), _) => f.closed().await,
         (None, Some(b)) => b.closed().await,
         (None, None) => std::future::pending().await,
@@ -112,106 +121,20 @@
 }
 
 impl Forwarder {
-    async fn step(&mut self, ev: FlowEvent) {
+    /// Feeds the state machine with one event and carries out the effects in order.
+    async fn step(&mut self, event: FlowEvent) {
         let now = self.clock.now();
-        let outs = self.request.step(now, ev, &mut self.balancer.lock().unwrap());
-        for out in outs {
-            if self.act(out).await == Acted::ClientGone {
-                return self.client_gone();
-            }
-        }
-    }
-
-    async fn act(&mut self, out: FlowAction) -> Acted {
-        match out {
-            FlowAction::Wait { avoid } => {
-                let woken = self.woken.clone();
-                let wake = Box::new(move |plan: RoutingDecision| woken.send(plan).map_err(|back| back.0));
-                let now = self.clock.now();
-                self.balancer.lock().unwrap().wait(now, self.request.spec.clone(), avoid, wake);
-            }
-            FlowAction::Open { attempt, runner, last_event_id: last } => self.open(attempt, runner, last),
-            FlowAction::Close { attempt } => {
-                if let Some(h) = self.attempts.remove(&attempt) {
-                    h.abort();
-                }
-            }
-            FlowAction::Head { attempt } => self.head(attempt),
-            FlowAction::Forward(raw) => return self.pass(raw).await,
-            FlowAction::Finish => {
-                if let Some(body) = self.body.take() {
-                    body.finish();
-                }
-            }
-            FlowAction::Abort(why) => {
-                log::info!(event = "answer-broken-off", service = self.request.spec.service.to_string(), why = why; "");
-                self.body = None;
-            }
-            FlowAction::Refuse(r) => self.answer(refused(&*self.caller, &r)),
-            FlowAction::OutcomeUnknown(status, text) => {
-                self.answer(own(status, "outcome-unknown", text, 0, "unknown"));
-            }
-            FlowAction::Log(what, text) => {
-                log::info!(event = what, service = self.request.spec.service.to_string(), note = text; "");
+        let effects = self.request.step(now, event, &mut self.balancer.lock().unwrap());
+        for effect in effects {
+            if self.carry_out(effect).await == EffectOutcome::ClientGone {
+                return self.abandon();
             }
         }
-        Acted::Done
-    }
-
-    fn open(&mut self, no: AttemptNo, runner: crate::fleet::runner::Runner, last: Option<String>) {
-        let check = {
-            let (balancer, clock) = (self.balancer.clone(), self.clock.clone());
-            let (order, name) = (self.request.spec.clone(), runner.instance.clone());
-            move || balancer.lock().unwrap().check_before_send(clock.now(), &order, &name).err()
-        };
-        let again = check.clone();
-        let job = Attempt {
-            no,
-            runner,
-            last,
-            order: self.request.spec.clone(),
-            side: self.side.clone(),
-            clock: self.clock.clone(),
-            shape: self.shape.clone(),
-            pool: self.pool.clone(),
-            check: Arc::new(move || check().is_none()),
-            why: Box::new(again),
-            tx: self.tx.clone(),
-        };
-        self.attempts.insert(no, tokio::spawn(attempt::run(job)));
-    }
-
-    fn answer(&mut self, response: Response<OutBody>) {
-        if let Some(first) = self.first.take() {
-            let _ = first.send(response);
-        }
-    }
-
-    fn head(&mut self, attempt: AttemptNo) {
-        let Some((status, heads)) = self.heads.remove(&attempt) else { return };
-        let (writer, body) = streamed();
-        let mut response = Response::new(body.boxed_unsync());
-        *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-        *response.headers_mut() = heads;
-        if self.request.is_stream {
-            response.headers_mut().remove("content-length");
-        }
-        self.body = Some(writer);
-        self.answer(response);
-    }
-
-    async fn pass(&mut self, bytes: Bytes) -> Acted {
-        let Some(body) = &self.body else { return Acted::Done };
-        let by =
-            self.request.spec.completion_deadline.map_or(STALL, |by| by.since(self.clock.now()).as_std());
-        match tokio::time::timeout(STALL.min(by), body.send(bytes)).await {
-            Ok(Ok(())) => Acted::Done,
-            _ => Acted::ClientGone,
-        }
     }
 
-    /// The client takes no more, or not in time: its answer is broken off and nothing of its request goes on.
-    fn client_gone(&mut self) {
+    /// Ends the request of a client that accepts no more bytes, or not in time: breaks the answer off and stops all
+    /// attempts.
+    fn abandon(&mut self) {
         self.body = None;
         let now = self.clock.now();
         self.request.step(now, FlowEvent::ClientGone, &mut self.balancer.lock().unwrap());
@@ -222,15 +145,15 @@
 }
 
 impl Drop for Forwarder {
-    /// A forwarding that ends before its request does leaves no waiter, slot or run behind.
+    /// Releases what an unfinished request holds: its place in the gate's queue, its slots and its attempts.
     fn drop(&mut self) {
         if !self.request.is_over
             && let Ok(mut balancer) = self.balancer.lock()
         {
             self.request.step(self.clock.now(), FlowEvent::ClientGone, &mut balancer);
         }
-        for h in self.attempts.values() {
-            h.abort();
+        for task in self.attempts.values() {
+            task.abort();
         }
     }
 }
--- a/src/http/quota.rs
+++ b/src/http/quota.rs
@@ -1,4 +1,5 @@
-//! A request of a tenant with a quota takes a token before it enters its gate.
+//! Tenant quotas at admission: a request of a tenant with a quota takes a token before it enters the gate of its
+//! service.
 #![deny(missing_docs)]
 
 use crate::constraints::shares::QuotaDecision;
@@ -7,10 +8,11 @@
 use crate::kernel::time::Clock;
 use tokio::sync::oneshot;
 
-/// What a client is told to wait whose tenant's quota nobody could count.
-const UNANSWERED_RETRY_S: u64 = 1;
+/// The `Retry-After`, in seconds, if no controller could count the tenant's quota.
+const UNANSWERED_RETRY_AFTER_S: u64 = 1;
 
-/// Waits for a token, at most until the request's due. Requests without a tenant or without a quota need none.
+/// Waits for a token, at most until the request's `due`. A request without a tenant or a quota needs none. Fails if the
+/// quota is used up or could not be counted.
 pub async fn take_token(
     table: &BalancerTable,
     clock: &dyn Clock,
@@ -24,16 +26,16 @@
     let wake = Box::new(move |decision| told.send(decision).is_ok());
     let at_once = table.quota.lock().unwrap().request(clock.now(), &tenant.name, order.start_deadline, wake);
     match at_once {
-        Some(decided) => outcome(decided),
-        None => outcome(decision.await.unwrap_or(QuotaDecision::Unanswered)),
+        Some(decided) => admission_result(decided),
+        None => admission_result(decision.await.unwrap_or(QuotaDecision::Unanswered)),
     }
 }
 
-/// What a request is told that gets no token.
-pub fn outcome(decision: QuotaDecision) -> Result<(), Refusal> {
+/// Turns the decision on a quota into admission or a refusal.
+pub fn admission_result(decision: QuotaDecision) -> Result<(), Refusal> {
     match decision {
         QuotaDecision::Granted => Ok(()),
         QuotaDecision::Blocked(wait) => Err(Refusal::after(RefusalReason::OverQuota, wait)),
-        QuotaDecision::Unanswered => Err(Refusal::new(RefusalReason::QuotaUnknown, UNANSWERED_RETRY_S)),
+        QuotaDecision::Unanswered => Err(Refusal::new(RefusalReason::QuotaUnknown, UNANSWERED_RETRY_AFTER_S)),
     }
 }
--- a/src/http/serve.rs
+++ b/src/http/request_service.rs
@@ -1,4 +1,7 @@
-use super::answer::{OutBody, own, refused, too_slow};
+//! Serves one request of a client: checks the limits, finds the route, admits the tenant, reads the body, takes a quota
+//! token, and forwards the request through the gate of its service ([`super::forward`]).
+
+use super::answer::{AnswerBody, coded_answer, refusal_answer, timeout_answer};
 use super::attempt::{ForwardedRequest, end_to_end};
 use super::client::ClientConnections;
 use super::forward::{ForwardJob, forward};
@@ -20,31 +23,43 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use tokio::sync::oneshot;
 
-pub struct Front {
+/// Serves the requests of clients. One per router.
+pub struct RequestService {
+    /// The routes in force and the gates of the services.
     pub table: Arc<BalancerTable>,
+    /// The connections to runners.
     pub pool: Arc<Pool>,
+    /// The clock that deadlines are read from.
     pub clock: Arc<dyn Clock>,
-    pub leaving: AtomicBool,
-    pub stopping: AtomicBool,
-    pub next: AtomicU64,
-    pub open: AtomicU64,
-    pub seen: super::sender::Seen,
+    /// The router is about to stop: each answer closes its connection, so that clients go to another router.
+    pub is_leaving: AtomicBool,
+    /// New requests are refused.
+    pub is_stopping: AtomicBool,
+    /// The id of the next request.
+    pub next_id: AtomicU64,
+    /// How many requests are being received or forwarded; one that is forwarded may count twice.
+    pub open_requests: AtomicU64,
+    /// The latest admitted requests.
+    pub recent: super::recent_requests::RecentRequests,
+    /// The connections of clients.
     pub clients: Arc<ClientConnections>,
+    /// The protocols of clients and runners.
     pub protocols: Protocols,
 }
 
-/// What a runner that stops at the end of its time has for its last word to arrive.
-const LAST_WORD: Span = Span::ms(100);
+/// How long after the deadline the last event of a runner that stops at the deadline may still arrive.
+const FINAL_EVENT_GRACE: Span = Span::ms(100);
 
-struct Counted<'a>(&'a AtomicU64);
+/// Decrements the number of open requests when dropped.
+struct OpenRequestCount<'a>(&'a AtomicU64);
 
-impl Drop for Counted<'_> {
+impl Drop for OpenRequestCount<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// The bytes of a request's head as it came, but for blanks around values.
+/// The size of a request head as it was received, in bytes, without optional white space around values.
 fn head_bytes(request: &Request<Incoming>) -> u64 {
     const LINE: usize = "  HTTP/1.1\r\n".len();
     const HEADER: usize = ": \r\n".len();
@@ -55,38 +70,42 @@
     (first + rows.sum::<usize>() + END) as u64
 }
 
-impl Front {
-    /// Takes over the newest limits and ends the connections of clients that are over them.
+impl RequestService {
+    /// Applies the newest limits to the connections of clients and expires those that are over them.
     pub fn sweep(&self) {
         self.clients.sweep(self.table.limits());
     }
 
-    pub async fn answer(self: Arc<Front>, order: Request<Incoming>) -> Response<OutBody> {
+    /// Answers one request of a client.
+    pub async fn answer(self: Arc<RequestService>, request: Request<Incoming>) -> Response<AnswerBody> {
         let me = self.clone();
-        let mut out = self.served(order).await;
-        if me.leaving.load(Ordering::SeqCst) {
+        let mut out = self.handle(request).await;
+        if me.is_leaving.load(Ordering::SeqCst) {
             out.headers_mut().insert("connection", HeaderValue::from_static("close"));
         }
         out
     }
 
-    async fn served(self: Arc<Front>, order: Request<Incoming>) -> Response<OutBody> {
-        self.open.fetch_add(1, Ordering::SeqCst);
-        let _counted = Counted(&self.open);
-        if self.stopping.load(Ordering::SeqCst) {
-            return refused(&*self.protocols.caller, &Refusal::new(RefusalReason::Stopping, 1));
+    async fn handle(self: Arc<RequestService>, request: Request<Incoming>) -> Response<AnswerBody> {
+        self.open_requests.fetch_add(1, Ordering::SeqCst);
+        let _count = OpenRequestCount(&self.open_requests);
+        if self.is_stopping.load(Ordering::SeqCst) {
+            return refusal_answer(&*self.protocols.caller, &Refusal::new(RefusalReason::Stopping, 1));
         }
-        if head_bytes(&order) > self.clients.limits().head_bytes {
+        if head_bytes(&request) > self.clients.limits().head_bytes {
             let text = "the request's head is over the configured limit; send a smaller one";
-            return own(431, "head-too-large", text, 0, "refused");
+            return coded_answer(431, "head-too-large", text, 0, "refused");
         }
         let now = self.clock.now();
-        let host = order.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or("").to_string();
+        let host = request.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or("").to_string();
         let Some((routes_version, routes)) = self.table.fresh_routes(now) else {
-            return refused(&*self.protocols.caller, &Refusal::new(RefusalReason::StaleConfiguration, 1));
+            return refusal_answer(
+                &*self.protocols.caller,
+                &Refusal::new(RefusalReason::StaleConfiguration, 1),
+            );
         };
-        let Some(row) = routes.find(&host, order.uri().path()) else {
-            return own(
+        let Some(row) = routes.find(&host, request.uri().path()) else {
+            return coded_answer(
                 404,
                 "unknown-route",
                 "no service has this route; see the configuration",
@@ -94,7 +113,7 @@
                 "refused",
             );
         };
-        let (mut parts, body) = order.into_parts();
+        let (mut parts, body) = request.into_parts();
         let key = self.protocols.caller.take_api_key(&mut parts.headers);
         let admission = match admit(&routes, row, key) {
             Ok(admission) => admission,
@@ -105,16 +124,22 @@
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
                 let text = format!("the body is over {} KB; send a smaller one", row.route.body_kb);
-                return own(413, "body-too-large", &text, 0, "refused");
+                return coded_answer(413, "body-too-large", &text, 0, "refused");
             }
-            Err(_) => return too_slow(),
+            Err(_) => return timeout_answer(),
             Ok(Err(_)) => {
-                return own(400, "body-unread", "the body did not arrive whole; send it again", 0, "refused");
+                return coded_answer(
+                    400,
+                    "body-unread",
+                    "the body did not arrive whole; send it again",
+                    0,
+                    "refused",
+                );
             }
         };
-        let mut heads = end_to_end(&parts.headers);
-        heads.remove("x-target-instance");
-        let order = match self.order(row, now, &heads, &body) {
+        let mut headers = end_to_end(&parts.headers);
+        headers.remove("x-target-instance");
+        let order = match self.build_order(row, now, &headers, &body) {
             Ok(order) => RequestSpec {
                 host: host.as_str().into(),
                 path: parts.uri.path().into(),
@@ -126,58 +151,64 @@
             Err(answer) => return *answer,
         };
         if let Err(over) = take_token(&self.table, &*self.clock, &order).await {
-            return refused(&*self.protocols.caller, &over);
+            return refusal_answer(&*self.protocols.caller, &over);
         }
         let Some(balancer) = self.table.get(&order.service) else {
-            return refused(&*self.protocols.caller, &Refusal::new(RefusalReason::StaleConfiguration, 1));
+            return refusal_answer(
+                &*self.protocols.caller,
+                &Refusal::new(RefusalReason::StaleConfiguration, 1),
+            );
         };
-        self.seen.add(&order, &host, parts.uri.path(), body.len());
+        self.recent.add(&order, &host, parts.uri.path(), body.len());
         let uri = parts.uri.path_and_query().map_or("/", |p| p.as_str()).parse().unwrap_or_default();
-        let shape = Arc::new(ForwardedRequest { method: parts.method, uri, heads, body });
+        let forwarded = Arc::new(ForwardedRequest { method: parts.method, uri, headers, body });
         let (tx, rx) = oneshot::channel();
         let work = forward(
             balancer,
             self.pool.clone(),
             self.clock.clone(),
-            ForwardJob { order, shape, protocols: self.protocols.clone() },
+            ForwardJob { order, forwarded, protocols: self.protocols.clone() },
             tx,
         );
         let me = self.clone();
-        self.open.fetch_add(1, Ordering::SeqCst);
+        self.open_requests.fetch_add(1, Ordering::SeqCst);
         tokio::spawn(async move {
-            let _counted = Counted(&me.open);
+            let _count = OpenRequestCount(&me.open_requests);
             work.await;
         });
         match rx.await {
             Ok(answer) => answer,
-            Err(_) => own(502, "outcome-unknown", "the order was dropped; it may have run", 0, "unknown"),
+            Err(_) => {
+                coded_answer(502, "outcome-unknown", "the order was dropped; it may have run", 0, "unknown")
+            }
         }
     }
 
-    /// What a client without a known key is told; nothing of its key is in it.
-    fn unknown_key(&self, row: &RouteRow) -> Response<OutBody> {
+    /// The refusal of a request whose key is unknown or missing. It does not contain the key.
+    fn unknown_key(&self, row: &RouteRow) -> Response<AnswerBody> {
         if let Some(balancer) = self.table.get(&row.service) {
             balancer.lock().unwrap().count("refused_unknown_key");
         }
-        refused(&*self.protocols.caller, &Refusal::new(RefusalReason::UnknownKey, 0))
+        refusal_answer(&*self.protocols.caller, &Refusal::new(RefusalReason::UnknownKey, 0))
     }
 
-    fn order(
+    /// The parameters of the request from its route, headers and body. Fails with the answer to a malformed request.
+    fn build_order(
         &self,
         row: &RouteRow,
         now: Time,
-        heads: &HeaderMap,
+        headers: &HeaderMap,
         body: &Bytes,
-    ) -> Result<RequestSpec, Box<Response<OutBody>>> {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+    ) -> Result<RequestSpec, Box<Response<AnswerBody>>> {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let service = row.pick(id ^ now.0).clone();
         let balancer = self.table.get(&service);
         let sort = balancer.and_then(|g| g.lock().unwrap().slice.as_ref().map(|s| s.service.sort));
-        let keys = match self.protocols.caller.read_params(heads, body, sort == Some(ServiceKind::Assistant))
-        {
-            Ok(keys) => keys,
-            Err(text) => return Err(Box::new(own(400, "bad-order", text, 0, "refused"))),
-        };
+        let keys =
+            match self.protocols.caller.read_params(headers, body, sort == Some(ServiceKind::Assistant)) {
+                Ok(keys) => keys,
+                Err(text) => return Err(Box::new(coded_answer(400, "bad-order", text, 0, "refused"))),
+            };
         let most = Span::ms(row.route.due_ms);
         let left = keys.due.map_or(most, |d| d.min(most));
         Ok(RequestSpec {
@@ -194,7 +225,7 @@
                 .protocols
                 .caller
                 .deadline_covers_body()
-                .then_some(now + left + LAST_WORD),
+                .then_some(now + left + FINAL_EVENT_GRACE),
             last_event_id: keys.last.filter(|_| row.route.resumable),
             route_kind: row.route.kind,
             max_attempts: row.route.tries,
--- a/src/platform/operator.rs
+++ b/src/platform/operator.rs
@@ -1,4 +1,4 @@
-//! How the users' operators speak: the configuration's path, what `If-Match` may hold, the statuses of ends.
+//! The operators' protocol on the platform: the path of the configuration, `If-Match`, and the statuses of answers.
 
 use super::config::{read, revision};
 use super::precondition::Precondition;
@@ -7,49 +7,54 @@
 use crate::kernel::fault::Fault;
 use crate::kernel::ids::{ChangeId, DocumentDigest};
 use crate::msg::{Answer, Event, OperatorCall};
-use crate::protocol::{OperatorProtocol, OperatorRequest};
+use crate::protocol::{OperatorProtocol, ParsedCall};
 
-/// What the settings say of every configuration: the rules' own figures.
+/// What the settings file fixes for every configuration.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct SettingsFigures {
+    /// The retry budget of each service.
     pub budget: Budget,
-    pub origin: Origin,
+    /// How strictly the rate of loads is kept.
+    pub load_rate_limit: LoadRateLimit,
 }
 
-/// How strictly the store of weights is watched: in any span of `window_s` seconds may begin as many loads as its rate
-/// gives times `tolerance`, and `EXTRA_LOADS` more.
+/// How strictly the load rate of the model store is kept: within any `window_s` seconds, at most the number of loads that
+/// its rate allows, times `tolerance`, plus `EXTRA_LOADS`, may begin.
 #[derive(Clone, Copy, Debug)]
-pub struct Origin {
-    /// The length of the span in seconds.
+pub struct LoadRateLimit {
+    /// The length of the window in seconds.
     pub window_s: f64,
-    /// How far the rate may be exceeded within it; 1 is not at all.
+    /// The factor by which the rate may be exceeded within the window; 1 means not at all.
     pub tolerance: f64,
 }
 
-/// So many loads more than the rate gives may begin within one window.
+/// How many loads beyond the rate may begin within one window.
 const EXTRA_LOADS: f64 = 3.0;
 
-impl Default for Origin {
-    fn default() -> Origin {
-        Origin { window_s: 5.0, tolerance: 1.0 }
+impl Default for LoadRateLimit {
+    fn default() -> LoadRateLimit {
+        LoadRateLimit { window_s: 5.0, tolerance: 1.0 }
     }
 }
 
-impl Origin {
-    /// The most loads that may be saved up for one moment, so that with the steady rate no window holds too many.
+impl LoadRateLimit {
+    /// The burst of loads that may begin at once, such that together with the steady rate no window holds too many.
     pub fn burst(&self, loads_per_s: f64) -> u64 {
         let above_rate = (self.tolerance - 1.0).max(0.0) * loads_per_s * self.window_s;
         (above_rate + EXTRA_LOADS).floor() as u64
     }
 }
 
-pub struct Operator {
-    pub figures: Figures,
+/// The operators' protocol on the platform.
+pub struct PlatformOperator {
+    /// What the settings fix for every configuration.
+    pub figures: SettingsFigures,
 }
 
+/// The path of the configuration.
 const CONFIG: &str = "/spindledock/config";
 
-impl OperatorProtocol for Operator {
+impl OperatorProtocol for PlatformOperator {
     fn id(&self, method: &str, base: Option<&str>, text: &str) -> ChangeId {
         let base = Precondition::read(base).key();
         let parts = [method.as_bytes(), base.as_bytes(), text.as_bytes()];
@@ -63,18 +68,18 @@
         path: &str,
         base: Option<&str>,
         text: &str,
-    ) -> Option<OperatorRequest> {
+    ) -> Option<ParsedCall> {
         if path == "/spindledock/ready" && method == "GET" {
-            return Some(OperatorRequest::Ready);
+            return Some(ParsedCall::Ready);
         }
         if path != CONFIG {
             return None;
         }
         if method == "GET" {
-            return Some(OperatorRequest::Event(Box::new(Event::OperatorRead { id, path: "source".into() })));
+            return Some(ParsedCall::Event(Box::new(Event::ReadCall { id, path: "source".into() })));
         }
         if method != "PUT" && method != "PATCH" {
-            return Some(OperatorRequest::Bad(Answer::new(
+            return Some(ParsedCall::Bad(Answer::new(
                 405,
                 "bad-order",
                 "GET, PUT or PATCH the configuration",
@@ -83,12 +88,10 @@
         }
         let base = match Precondition::read(base).revision() {
             Ok(base) => base,
-            Err(why) => {
-                return Some(OperatorRequest::Bad(Answer::new(412, "stale-base", &why.to_string(), 0)));
-            }
+            Err(why) => return Some(ParsedCall::Bad(Answer::new(412, "stale-base", &why.to_string(), 0))),
         };
         let op = OperatorCall::PlatformConfig { base, part: method == "PATCH", text: text.to_string() };
-        Some(OperatorRequest::Event(Box::new(Event::OperatorCall { id, op })))
+        Some(ParsedCall::Event(Box::new(Event::OperatorCall { id, op })))
     }
 
     fn status(&self, answer: &Answer) -> u16 {
@@ -103,7 +106,7 @@
         revision(text)
     }
 
-    fn read(&self, now: &FleetConfig, text: &str, part: bool) -> Result<FleetConfig, Vec<Fault>> {
-        read(&self.figures, now, text, part)
+    fn read(&self, current: &FleetConfig, text: &str, is_patch: bool) -> Result<FleetConfig, Vec<Fault>> {
+        read(&self.figures, current, text, is_patch)
     }
 }
--- a/src/platform/tenants.rs
+++ b/src/platform/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants as the users' configurations write them.
+//! Reads the tenants of a configuration: names, API keys, priorities and quotas.
 #![deny(missing_docs)]
 
 use super::merge::TENANTS;
@@ -9,15 +9,15 @@
 use hyper::header::HeaderValue;
 use std::collections::BTreeSet;
 
-/// The most requests a second, and the greatest burst, that a quota may allow.
-const QUOTA_MOST: f64 = 1e9;
-const MILLI: f64 = 1000.0;
+/// The largest value of a tenant's number: requests per second, burst or priority.
+const QUOTA_MAX: f64 = 1e9;
+const MILLI_PER_UNIT: f64 = 1000.0;
 
 fn fault(place: &str, what: &str, remedy: &str) -> Fault {
     Fault::new(Kind::Config, place, what, remedy)
 }
 
-/// Reads the list of tenants. A fault names the place of what is wrong and never a key.
+/// Reads the list of tenants and collects its faults. A fault names the position of an item and never contains a key.
 pub fn read(document: &Tree, faults: &mut Vec<Fault>) -> Vec<Tenant> {
     match document.get(TENANTS) {
         None | Some(Tree::Null | Tree::List(_)) => {}
@@ -40,6 +40,7 @@
     tenants
 }
 
+/// Reads one tenant; `None` if it is faulty.
 fn read_one(at: &str, item: &Tree, faults: &mut Vec<Fault>) -> Option<Tenant> {
     let name = item.text("Name").filter(|name| is_header_value(name));
     let Some(name) = name else {
@@ -52,23 +53,25 @@
     };
     let before = faults.len();
     let keys = read_keys(at, item, faults);
-    let rate = figure(at, item, "RatePerS", faults);
-    let burst = figure(at, item, "Burst", faults);
-    let priority = figure(at, item, "Priority", faults);
+    let rate = read_number(at, item, "RatePerS", faults);
+    let burst = read_number(at, item, "Burst", faults);
+    let priority = read_number(at, item, "Priority", faults);
     if faults.len() > before {
         return None;
     }
     let quota = rate.filter(|per_s| *per_s > 0.0).map(|per_s| QuotaLimit {
-        rate_milli: (per_s * MILLI).ceil() as u64,
+        rate_milli: (per_s * MILLI_PER_UNIT).ceil() as u64,
         burst: burst.unwrap_or(0.0) as u64,
     });
     Some(Tenant { name: Name::from(name), keys, priority: priority.map(|rank| rank as u64), quota })
 }
 
+/// Whether a text can be sent as the value of a header.
 fn is_header_value(text: &str) -> bool {
     !text.is_empty() && text.trim() == text && HeaderValue::from_bytes(text.as_bytes()).is_ok()
 }
 
+/// The digests of a tenant's keys.
 fn read_keys(at: &str, item: &Tree, faults: &mut Vec<Fault>) -> Vec<KeyDigest> {
     let mut keys = BTreeSet::new();
     match item.get("ApiKeys") {
@@ -86,10 +89,11 @@
     keys.into_iter().collect()
 }
 
-fn figure(at: &str, item: &Tree, key: &str, faults: &mut Vec<Fault>) -> Option<f64> {
+/// A number from 0 to `QUOTA_MAX`; `None` if it is absent or, with a fault, malformed.
+fn read_number(at: &str, item: &Tree, key: &str, faults: &mut Vec<Fault>) -> Option<f64> {
     item.get(key).filter(|value| **value != Tree::Null)?;
     match item.float(key) {
-        Some(number) if (0.0..=QUOTA_MOST).contains(&number) => Some(number),
+        Some(number) if (0.0..=QUOTA_MAX).contains(&number) => Some(number),
         _ => {
             faults.push(fault(&format!("{at}.{key}"), "is no number from 0 to 10^9", "give such a number"));
             None
--- a/src/sim/check_config.rs
+++ b/src/sim/check_config.rs
@@ -83,12 +83,12 @@
 fn learnt(w: &World, r: &Replay) -> Bad {
     let mut bad = Bad::new();
     for (t, f) in &w.record.rows {
-        let Fact::TopicChange { place, scope, at, config_version, print } = f else { continue };
+        let Fact::Learnt { place, scope, at, config_at, print } = f else { continue };
         if !r.known(*t) || *at == Version(0) || *print == 0 {
             continue;
         }
         let named = scope.strip_prefix("service:");
-        let seen = if named.is_some() { config_version } else { at };
+        let seen = if named.is_some() { config_at } else { at };
         if *seen == Version(0) {
             continue;
         }
@@ -124,7 +124,7 @@
     }
     for c in &r.taken {
         let found = state.outcome(c.id);
-        let aged = found.is_none() && state.outcomes.len() >= crate::fleet::state::OUTCOMES;
+        let aged = found.is_none() && state.outcomes.len() >= crate::fleet::state::MAX_OUTCOMES;
         if !aged && found.is_none_or(|o| o.code != OutcomeCode::Ok) {
             bad.push(format!("6 change {} was acknowledged as {} and is lost", c.id, c.at));
         }
--- a/src/sim/steps.rs
+++ b/src/sim/steps.rs
@@ -34,7 +34,7 @@
             Effect::Rewrite(_) => Some("rewrite"),
             Effect::Answer { .. } => Some("answer"),
             Effect::OrderRunner(_) => Some("drive"),
-            Effect::TopicUpdate { slice: Some(_), .. } => Some("learn"),
+            Effect::Topic { slice: Some(_), .. } => Some("learn"),
             _ => None,
         };
     };
@@ -46,10 +46,10 @@
             ChainMsg::Accept { .. } => Some("accept"),
             ChainMsg::Accepted { .. } => Some("accepted"),
             ChainMsg::ViewDecided { .. } => Some("view-decided"),
-            ChainMsg::Join { .. } => Some("join"),
+            ChainMsg::JoinRequest { .. } => Some("join"),
             ChainMsg::Snapshot { .. } => Some("snapshot"),
-            ChainMsg::Follow { .. } => Some("follow"),
-            ChainMsg::Pledge { .. } => Some("pledge"),
+            ChainMsg::CatchUp { .. } => Some("follow"),
+            ChainMsg::PledgeRequest { .. } => Some("pledge"),
             _ => None,
         },
         Msg::OperatorCall { .. } => Some("op"),
@@ -91,7 +91,7 @@
         Blow::Wipe => {
             w.kill_node(place);
             w.nodes[place].disk.wipe();
-            w.nodes[place].place.first = false;
+            w.nodes[place].place.may_found = false;
             w.at(w.now + Span::ms(700), move |w| w.start_node(place));
         }
         Blow::Stop => {
--- a/tests/chain.rs
+++ b/tests/chain.rs
@@ -1,7 +1,10 @@
+//! The chain as a whole: losses, splits, replaced machines and restores, each followed by a change that must
+//! succeed.
+
 mod common;
 
 use common::{seeded, sound};
-use spindledock::chain::recovery::restore;
+use spindledock::chain::recovery::restore_as_only;
 use spindledock::kernel::disk::Disk;
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
@@ -16,6 +19,7 @@
     w.ask(place, OperatorCall::PatchConfig { base: None, text })
 }
 
+/// Sends a change and expects it to be accepted.
 fn taken(w: &mut World, place: usize, name: &str) {
     let id = patch(w, place, name);
     assert_eq!(w.answer(id, Span::ms(20_000)), Some(200), "{name}: {:?}", w.answers.get(&id));
@@ -26,6 +30,7 @@
     node.is_some_and(|n| n.views.state.config.model(&Name::from(name)).is_some())
 }
 
+/// Cuts all links between the nodes in `some` and the others.
 fn split(w: &mut World, some: &[usize]) {
     for a in 0..w.nodes.len() {
         for b in 0..w.nodes.len() {
@@ -158,7 +163,7 @@
         }
         let mut disk = w.nodes[kept].disk.clone();
         let records = disk.load().expect("sound");
-        disk.rewrite(&restore(&records).expect("a view")).expect("written");
+        disk.rewrite(&restore_as_only(&records).expect("a view")).expect("written");
         for n in [kept, (kept + 1) % 3, (kept + 2) % 3] {
             w.start_node(n);
             assert!(w.until(Span::ms(15_000), |w| w.nodes[n].ready).is_some(), "{:?}", w.parts(n));
--- a/tests/report_pace.rs
+++ b/tests/report_pace.rs
@@ -5,7 +5,7 @@
 #[path = "common/duty.rs"]
 mod duty;
 
-use adopt::Office;
+use adopt::OperatorClient;
 use duty::*;
 use spindledock::fleet::config::Class;
 use spindledock::fleet::holdings::{HoldingsUpdate, UnmetDemand};
@@ -13,8 +13,8 @@
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
 use spindledock::msg::*;
-use spindledock::placement::seeker::Seeker;
-use spindledock::rollout::tell::Teller;
+use spindledock::placement::placement_client::PlacementClient;
+use spindledock::rollout::router_reports::RouterReporter;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
 
 /// The reports that a router sends in ten seconds, by receiver.
 fn reports(n: u64, routers: u64, holder: bool, state: &RouterReport) -> Vec<(u64, NodeId)> {
-    let mut bench = Bench::new(Teller::default(), router(n), Role::Router, routers);
+    let mut bench = Bench::new(RouterReporter::default(), router(n), Role::Router, routers);
     let mut all = vec![];
     for step in 0..40 {
         bench.now = BEGIN + Span(STATE_EACH.0 * step + 1);
@@ -101,7 +101,7 @@
 
 #[test]
 fn given_293_routers_when_no_holder_is_known_then_wants_wait_and_one_controller_a_second_is_asked() {
-    let mut bench = Bench::new(Seeker::default(), router(1), Role::Router, LARGE);
+    let mut bench = Bench::new(PlacementClient::default(), router(1), Role::Router, LARGE);
     let mut asked = 0;
     let want = UnmetDemand { service: Name::from("s"), name: Name::from("m1"), class: Class::Chat, count: 1 };
     for step in 0..60 {
@@ -123,7 +123,7 @@
 
 #[test]
 fn given_a_router_that_passes_holdings_on_when_told_then_the_others_of_its_zone_hear_them_once() {
-    let mut bench = Bench::new(Seeker::default(), router(1), Role::Router, LARGE);
+    let mut bench = Bench::new(PlacementClient::default(), router(1), Role::Router, LARGE);
     let tell =
         HoldingsUpdate { holder: HOLDER, term: Term(1), seq: 1, whole: true, relay: true, rows: vec![] };
     let out = bench.mail(HOLDER, Msg::Holdings(Arc::new(tell)));
@@ -137,11 +137,11 @@
 
 #[test]
 fn given_a_change_that_leaves_the_routes_when_it_is_taken_in_then_live_requests_are_not_rehearsed() {
-    let mut office = Office::open(vanua(), 3);
-    assert_eq!(office.done(0, 0, "3 a b"), Some(200));
-    assert_eq!(office.done(0, 3, "4 a b"), Some(200));
-    let head = office.head();
-    let node = office.w.nodes[head].node.as_ref().expect("the head is up");
+    let mut client = OperatorClient::start(vanua(), 3);
+    assert_eq!(client.send_and_wait(0, 0, "3 a b"), Some(200));
+    assert_eq!(client.send_and_wait(0, 3, "4 a b"), Some(200));
+    let head = client.head();
+    let node = client.world.nodes[head].node.as_ref().expect("the head is up");
     let stages = node.views.state.outcomes.iter().flat_map(|outcome| &outcome.stages);
     let notes: Vec<&str> =
         stages.filter(|stage| stage.name == "rehearse").map(|stage| stage.note.as_str()).collect();
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -11,7 +11,7 @@
 use spindledock::gate::admission::admit;
 use spindledock::gate::order::{RefusalReason, RequestSpec, Urgency};
 use spindledock::gate::{Balancer, Refusal};
-use spindledock::http::own::{OwnCaller, OwnRunner};
+use spindledock::http::native::{NativeCaller, NativeRunner};
 use spindledock::kernel::ids::*;
 use spindledock::kernel::time::Span;
 use spindledock::launch::deployment::vanua;
@@ -179,7 +179,7 @@
     let mut heads = hyper::HeaderMap::new();
     heads.insert("x-spindledock-key", "k-1".parse().expect("a value"));
     heads.insert("x-spindledock-tenant", "other".parse().expect("a value"));
-    let key = OwnCaller.take_api_key(&mut heads);
+    let key = NativeCaller.take_api_key(&mut heads);
     assert_eq!(key, Some(KeyDigest::of(b"k-1")));
     let runner = spindledock::fleet::runner::Runner {
         instance: Name::from("i"),
@@ -188,7 +188,7 @@
         addr: "10.0.0.1:80".parse().expect("an address"),
         leaving: false,
     };
-    OwnRunner.add_request_headers(&mut heads, &runner, &order_at(1, &table, "k-1"), None, Span::ms(10));
+    NativeRunner.add_request_headers(&mut heads, &runner, &order_at(1, &table, "k-1"), None, Span::ms(10));
     assert_eq!(heads.get("x-spindledock-tenant").and_then(|v| v.to_str().ok()), Some("one"));
     assert!(heads.get("x-spindledock-key").is_none());
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Each kind of message goes over the wire and comes back as it was.
+//! Every kind of message decodes to what was encoded, and a shortened or lengthened one never decodes to
+//! another kind.
 
 use spindledock::chain::acceptor::AcceptedView;
 use spindledock::chain::ledger_transfer::{LeaseLedger, LedgerRow};
@@ -29,7 +30,7 @@
 }
 
 fn gossip() -> Box<Gossip> {
-    let claim = Claim { who: member(), live: true, age: Span::ms(7) };
+    let claim = Claim { who: member(), is_live: true, age: Span::ms(7) };
     let mark = Mark { instance: Name::from("i-1"), age: Span::ms(9) };
     let view = Some(view());
     Box::new(Gossip { digest: 5, view_at: ViewNo(4), rows: vec![claim], marks: vec![mark], view })
@@ -64,20 +65,20 @@
     let (view, sent, ballot) = (ViewNo(4), Time(77), Ballot::default());
     let accepted = AcceptedView { ballot, view: next.clone() };
     vec![
-        ChainMsg::Pledge { fleet: FleetId(3), members: vec![NodeId(1)], sent },
-        ChainMsg::Pledged { fleet: FleetId(3), sent },
-        ChainMsg::Append { view, first: true, upto: Version(9), entries: vec![entry()] },
-        ChainMsg::Progress { view, synced: Version(9), committed: Version(8), chain_synced: Version(7) },
-        ChainMsg::Heartbeat { view, room: true, impaired: false, leaving: true },
-        ChainMsg::Join { have: Version(2), following: true },
-        ChainMsg::JoinHeard,
-        ChainMsg::Follow { entries: vec![entry()], done: Version(9) },
-        ChainMsg::Prepare { no: view, ballot, lost: Some(NodeId(5)), quiet: Span::ms(3) },
+        ChainMsg::PledgeRequest { fleet: FleetId(3), members: vec![NodeId(1)], sent },
+        ChainMsg::PledgeReply { fleet: FleetId(3), sent },
+        ChainMsg::Append { view, is_announcement: true, log_last: Version(9), entries: vec![entry()] },
+        ChainMsg::Progress { view, synced: Version(9), committed: Version(8), synced_to_tail: Version(7) },
+        ChainMsg::Heartbeat { view, has_room: true, is_impaired: false, is_leaving: true },
+        ChainMsg::JoinRequest { synced: Version(2), is_following: true },
+        ChainMsg::JoinAck,
+        ChainMsg::CatchUp { entries: vec![entry()], committed: Version(9) },
+        ChainMsg::Prepare { view_no: view, ballot, lost_member: Some(NodeId(5)), silence: Span::ms(3) },
         ChainMsg::Snapshot { at: Version(9), state: Box::default() },
-        ChainMsg::Promise { no: view, ballot, accepted: Some(accepted) },
+        ChainMsg::Promise { view_no: view, ballot, accepted: Some(accepted) },
         ChainMsg::Accept { ballot, view: next.clone() },
-        ChainMsg::Accepted { no: view, ballot },
-        ChainMsg::Nack { no: view, ballot },
+        ChainMsg::Accepted { view_no: view, ballot },
+        ChainMsg::Nack { view_no: view, ballot },
         ChainMsg::ViewDecided { view: next },
         ChainMsg::LeaseRequest { view, sent },
         ChainMsg::LeaseGrant { view, sent },
@@ -135,7 +136,7 @@
         Msg::OperatorCall { id, attempt: 2, op: OperatorCall::ProposePlan },
         Msg::CallPending { id, attempt: 2 },
         Msg::CallAnswer { id, attempt: 2, answer: answer.clone() },
-        Msg::OperatorRead { attempt: 1, path: "/status".into() },
+        Msg::ReadCall { attempt: 1, path: "/status".into() },
         Msg::ReadAnswer { attempt: 1, answer },
         Msg::RouterReport(Arc::default()),
         Msg::RequestUpdates,
@@ -165,9 +166,9 @@
 #[test]
 fn given_each_kind_of_message_when_packed_and_unpacked_then_it_is_the_same() {
     for msg in messages() {
-        let letter = envelope(msg);
-        let raw = wire::encode_envelope(&letter);
-        assert_eq!(wire::decode_envelope(body(&raw)).expect("it decodes"), letter);
+        let sent = envelope(msg);
+        let raw = wire::encode_envelope(&sent);
+        assert_eq!(wire::decode_envelope(body(&raw)).expect("it decodes"), sent);
     }
 }
 
@@ -175,15 +176,15 @@
 fn given_each_kind_of_message_when_cut_short_or_lengthened_then_nothing_crashes_and_no_other_kind_comes_out()
 {
     for msg in messages() {
-        let letter = envelope(msg);
-        let raw = wire::encode_envelope(&letter);
+        let sent = envelope(msg);
+        let raw = wire::encode_envelope(&sent);
         let body = body(&raw);
         for len in 0..body.len() {
             let cut = wire::decode_envelope(&body[..len]);
             let kind = |m: &Msg| std::mem::discriminant(m);
-            assert!(cut.is_err() || kind(&cut.expect("decoded").msg) == kind(&letter.msg));
+            assert!(cut.is_err() || kind(&cut.expect("decoded").msg) == kind(&sent.msg));
         }
         let longer = [body, &[0]].concat();
-        assert!(wire::decode_envelope(&longer).is_err(), "{letter:?}");
+        assert!(wire::decode_envelope(&longer).is_err(), "{sent:?}");
     }
 }
