--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -17,21 +17,21 @@
 stray-legs|src/forwarding/request.rs|if self.over \|\| self.is_stray\(&ev\)|if self.over|forwarding closed_attempt
 last-check|src/gate/core.rs|if now >= order.due \{\s+return Err\(Why::Due\);|if true { return Ok(()); } if now >= order.due { return Err(Why::Due);|must_never after_the_thaw
 freshness|src/distribution/reader.rs|Span::ms\(2000\)|Span::ms(20000)|must_never that_router_refuses
-tail-term|src/chain/publish.rs|if ctx.now >= ctx.views.role.until|if false|must_never that_router_refuses
+tail-term|src/chain/publish.rs|if ctx.now >= ctx.views.role.lease_until|if false|must_never that_router_refuses
 restart-proof|src/distribution/reader.rs|proven < self.started \|\| ||news slides_back
 same-event|src/transfer/handover.rs|if !self.contract.same_place\(a, b\)|if false|must_never_too source_keeps_it
 budget|src/gate/budget.rs|if self.credit < 1.0|if false|must_never_too in_the_budget
-holder-wait|src/placement/duty.rs|QUIET: Span = Span::ms\(4000\)|QUIET: Span = Span::ms(0)|must_never_too three_seconds_apart
-room|src/placement/room.rs|if free_mb\(c, o, f\) < mb|if false|must_never_too never_overrun
-in-flight|src/placement/flights.rs|self.rows.at\(&report.instance\).filter\(new\).map\(\|f\| f.mb\).sum\(\)|0|placement in_flight
-store-rate|src/placement/flights.rs|at_once.min\(self.pacer.left\(rule\).max\(0.0\) as u64\)|at_once|must_never_too never_overrun
+holder-wait|src/placement/component.rs|TAKEOVER_WAIT: Span = Span::ms\(4000\)|TAKEOVER_WAIT: Span = Span::ms(0)|must_never_too three_seconds_apart
+room|src/placement/free_room.rs|if free_mb\(c, o, f\) < mb|if false|must_never_too never_overrun
+in-flight|src/placement/pending_orders.rs|self.table.at_runner\(&report.instance\).filter\(new\).map\(\|f\| f.weight_mb\).sum\(\)|0|placement in_flight
+store-rate|src/placement/pending_orders.rs|at_once.min\(self.store_budget.left\(rule\).max\(0.0\) as u64\)|at_once|must_never_too never_overrun
 sync-first|src/kernel/hold.rs|if self.queue.is_empty\(\) \{|if true {|news before_it_is_synced
-compare-swap|src/fleet/fold.rs|if base != self.config_at|if false|order_identity whole_configurations_on_one_base
-ready-kept|src/chain/recovery.rs|self.ready_in = Some\(view\)|drop(view)|must_never they_are_kept
-lead-folded|src/chain/installation.rs|self.is_head\(\) && self.committed >= self.lead_from|self.is_head()|lead the_rest_is_kept
-ready-stays|src/chain/installation.rs|went_on && self.ready && view.has\(self.ident\)|false|mend all_the_same
-mending|src/chain/view_change.rs|if !self.in_chain\(\) \|\| !self.ready \|\| !self.hears_majority\(ctx.now\)|if true|chain changes_go_on
-return-time|src/placement/duty.rs|QUIET: Span = Span::ms\(4000\)|QUIET: Span = Span::ms(14000)|back each_herd
+compare-swap|src/fleet/fold.rs|if base != self.config_version|if false|order_identity whole_configurations_on_one_base
+ready-kept|src/chain/recovery.rs|self.ready_in_view = Some\(view\)|drop(view)|must_never they_are_kept
+lead-folded|src/chain/installation.rs|self.is_head\(\) && self.committed >= self.inherited_up_to|self.is_head()|lead the_rest_is_kept
+ready-stays|src/chain/installation.rs|went_on && self.is_ready && view.has\(self.node_id\)|false|mend all_the_same
+mending|src/chain/view_change.rs|if !self.in_chain\(\) \|\| !self.is_ready \|\| !self.hears_majority\(ctx.now\)|if true|chain changes_go_on
+return-time|src/placement/component.rs|TAKEOVER_WAIT: Span = Span::ms\(4000\)|TAKEOVER_WAIT: Span = Span::ms(14000)|back each_herd
 wait-refused|src/gate/wait.rs|if now \+ wait < order.due \{|if true {|wait hear_it_early
 overlap|src/forwarding/resume.rs|Join::Repeat\(last\) if last == item|Join::Repeat(_)|forwarding mixed
 join-by-id|src/forwarding/resume.rs|self.sequence.is_next\(id\)\)|self.sequence.is_next(id) \|\| true)|platform_stream never_mixed
@@ -44,81 +44,81 @@
 slot-released|src/forwarding/request.rs|gate.release\(now, &l.runner.instance, &self.order.model, good\);||must_never none_runs_twice
 plan-untaken|src/gate/waiters.rs|self.give_back\(&runner.instance, &waiter.order.model\);||waiter runtime_wakes_it
 end-said|src/http/body.rs|Some\(Err\("the answer was broken off before its end".into\(\)\)\)|None|platform_end never_looks_complete
-close-resets|src/http/client_stream.rs|self.resets = reset_on_close\(&self.tcp, true\).is_ok\(\);||platform_end router_ends_half_way
+close-resets|src/http/client_stream.rs|self.resets_on_close = reset_on_close\(&self.tcp, true\).is_ok\(\);||platform_end router_ends_half_way
 panic-ends|src/daemon/panics.rs|unsafe \{ libc::_exit\(PANIC_EXIT\) \}||panics ends_with_a_logged_event
 closed-end|src/forwarding/attempt.rs|end == AnswerEnd::Framed \|\| l.boundary.may_end\(\)|true|platform_stream_end may_not_be_resumed
 unplaced|src/forwarding/resume.rs|\(self.order.resumable && !self.unplaced\)|(self.order.resumable)|platform_stream_end without_ids
-withdrawn-room|src/placement/distrust.rs|let known: Option<u64> = names.map\(\|name\| config.most_mb\(name\)\).sum\(\);\s+known.unwrap_or\(report.room_mb\)|names.filter_map(\|name\| config.weight(name)).sum()|withdrawn over_its_room
-withdrawn-unload|src/placement/stages.rs|self.retire_withdrawn\(&s, ctx\);||withdrawn over_its_room
-stop-delivered|src/http/client.rs|matches!\(c.phase\(\), Phase::Serving \| Phase::Flushing\) \|\| c.unacknowledged\(\) > 0|matches!(c.phase(), Phase::Serving)|platform_stop handed_over
-stop-lingers|src/http/client.rs|self.all.stopping.load\(Ordering::SeqCst\) && |false && |platform_stop handed_over
+withdrawn-room|src/placement/load_backoff.rs|let known: Option<u64> = names.map\(\|name\| config.max_mb\(name\)\).sum\(\);\s+known.unwrap_or\(report.room_mb\)|names.filter_map(\|name\| config.weight(name)).sum()|withdrawn over_its_room
+withdrawn-unload|src/placement/move_execution.rs|self.unload_withdrawn\(&s, ctx\);||withdrawn over_its_room
+stop-delivered|src/http/client.rs|matches!\(c.phase\(\), Phase::Serving \| Phase::Flushing\) \|\| c.unacknowledged_bytes\(\) > 0|matches!(c.phase(), Phase::Serving)|platform_stop handed_over
+stop-lingers|src/http/client.rs|self.connections.stopping.load\(Ordering::SeqCst\)\s+&& |false && |platform_stop handed_over
 order-sequence|src/sim/runner_orders.rs|Some\(o.expected\)|None|room held_up
-foreign-order|src/placement/flights.rs|busy && !self.rows|false && !self.rows|room predecessor
-overdue-room|src/placement/flights.rs|f.overdue \|= !f.answered|f.there \|= !f.answered|placement in_flight
-plan-accept|src/placement/demand.rs|s.config.placement.auto \{ PlanState::Running|true { PlanState::Running|plan version_is_accepted
-plan-allowance|src/placement/drive.rs|if ms > most.ms \|\| tries > most.tries|if false|plan at_its_allowance
-route-again|src/gate/admission.rs|if order.routes_at >= self.routes.0|if true|turn their_route_is_dropped
+foreign-order|src/placement/pending_orders.rs|busy && !self.table|false && !self.table|room predecessor
+overdue-room|src/placement/pending_orders.rs|f.is_overdue \|= !f.is_accepted|f.is_finished \|= !f.is_accepted|placement in_flight
+plan-accept|src/placement/proposals.rs|s.config.placement.auto \{ PlanState::Running|true { PlanState::Running|plan version_is_accepted
+plan-allowance|src/placement/plan_execution.rs|if ms > most.ms \|\| tries > most.tries|if false|plan at_its_allowance
+route-again|src/gate/admission.rs|if order.routes_version >= self.routes.0|if true|turn their_route_is_dropped
 key-known|src/gate/admission.rs|if credential.is_none\(\) && !row.route.open|if false|platform_keys has_no_known_key
 key-last-check|src/gate/admission.rs|None => Err\(Why::UnknownKey\),|None => Ok(()),|tenants none_begins_after_the_change
 key-passed-on|src/gate/admission.rs|Some\(_\) => Err\(Why::KeyPassedOn\)|Some(_) => Ok(())|tenants none_begins_after_the_change
-key-not-forwarded|src/platform/caller.rs|heads.remove\(KEY_HEADER\)\?|heads.get(KEY_HEADER).cloned()?|platform_keys hears_its_tenant
-tenant-claim|src/platform/runner.rs|heads.remove\(TENANT\);||platform_keys neither_key_nor_tenant
-key-unshown|src/chain/show.rs|state.config.shown\(\)|state.config.tree()|platform_tenants anything_of_the_fleet
-silent-unload|src/placement/flights.rs|!self.load && !self.overdue|!self.load|silent_unload every_model_is_served
-list-step-in|src/runner_list/reader.rs|if age >= self.timing.patience\(0, 1\) && age >= self.patience\(ctx\) \{|if false {|runner_list cut_off_from_the_list
+key-not-forwarded|src/platform/caller.rs|headers.remove\(KEY_HEADER\)\?|headers.get(KEY_HEADER).cloned()?|platform_keys hears_its_tenant
+tenant-claim|src/platform/runner.rs|headers.remove\(TENANT_HEADER\);||platform_keys neither_key_nor_tenant
+key-unshown|src/chain/operator_reads.rs|state.config.shown\(\)|state.config.tree()|platform_tenants anything_of_the_fleet
+silent-unload|src/placement/pending_orders.rs|!self.is_load && !self.is_overdue|!self.is_load|silent_unload every_model_is_served
+list-step-in|src/runner_list/reader.rs|if age >= self.timing.max_age\(0, 1\) && age >= self.max_age\(ctx\) \{|if false {|runner_list cut_off_from_the_list
 list-mark|src/runner_list/reader.rs|\.filter\(\|r\| r.leaving\)|.filter(\|_\| false)|runner_list held_up_by_slow_disks
 mark-gossip|src/gate/sweep.rs|h.leaving = true;\s+g.wake\(now\);|g.wake(now);|leaving tells_only_it
-refused-in-force|src/fleet/fold.rs|return self.end\(id, OutcomeCode::RehearsalFailed|self.config = *t.config; self.config_at = self.at; self.touch(Scope::Routes); return self.end(id, OutcomeCode::RehearsalFailed|rehearse live_orders
+refused-in-force|src/fleet/fold.rs|return self.end\(id, OutcomeCode::RehearsalFailed|self.config = *t.config; self.config_version = self.at; self.touch(Scope::Routes); return self.end(id, OutcomeCode::RehearsalFailed|rehearse live_orders
 restart-credit|src/gate/budget.rs|credit: 0.0|credit: 10.0|tries restarts
 saved-credit|src/gate/budget.rs|self.share.max\(LEAST as f64\)|500.0|tries quiet_time
-round-pace|src/placement/quick.rs|if now.since\(self.work.last_round\) < gap|if false|grown holder_orders_soon
-tell-few|src/rollout/tell.rs|routers <= ROUTERS_TELLING_ALL|true|report_pace hears_each_once_a_second
+round-pace|src/placement/decisions.rs|if now.since\(self.search.last_round_at\) < gap|if false|grown holder_orders_soon
+tell-few|src/rollout/router_reports.rs|routers <= SMALL_FLEET_ROUTERS|true|report_pace hears_each_once_a_second
 tick-pace|src/daemon/ticks.rs|if now.since\(self.last\) < period|if false|ticks fifty_times
-distrust|src/placement/look.rs|self.distrust.failed\(runner, ctx.now\);||liar serve_on
-read-index|src/chain/read_index.rs|return self.arrived\(from, id, attempt, op, ctx\)|return self.decide(from, id, attempt, op, ctx)|cut_off nothing_old_is_said
+distrust|src/placement/report_polling.rs|self.load_backoff.record_failure\(runner, ctx.now\);||liar serve_on
+read-index|src/chain/read_index.rs|return self.on_arrival\(from, id, attempt, op, ctx\)|return self.decide(from, id, attempt, op, ctx)|cut_off nothing_old_is_said
 lease-release|src/chain/reply.rs|decision.taken_at\(\).is_none_or\(\|at\| at <= views.released\)|true|dark_core acknowledgement_waits
-lease-unknown|src/chain/serving_leases.rs|ctx.now \+ ctx.me.lease \+ LEASE;|ctx.now;|dark_core core_restarts
+lease-unknown|src/chain/serving_leases.rs|ctx.now \+ ctx.me.serving_lease \+ LEASE_DURATION;|ctx.now;|dark_core core_restarts
 lease-ledger|src/chain/serving_leases.rs|rows.iter\(\).for_each\(\|a\| self.record\(a, ctx\)\);||dark_core new_tail_waits
 lease-newest|src/chain/serving_leases.rs|if self.history.is_newest\(&a.request.versions\)|if true|dark_core acknowledgement_waits
 vote-when-ready|src/chain/view.rs|next.chain.push\(new\);|next.chain.push(new); next.give_vacant_votes(&[new]);|second_loss lost_for_good_at_once
-ballot-synced|src/chain/view_change.rs|ctx.save\(Record::Promise \{ no, ballot \}\);||second_loss its_ballot_is_new
-ready-copies|src/chain/replicate.rs|if self.ready \{ self.lowest\(\) \} else \{ Version\(0\) \}|self.lowest()|second_loss could_go_on
-leave-in-order|src/chain/leaving.rs|self.copies >= self.copies_wanted && self.votes >= self.majority|true|departure waits_for_the_others
+ballot-synced|src/chain/view_change.rs|ctx.save\(Record::Promise \{ view_no, ballot \}\);||second_loss its_ballot_is_new
+ready-copies|src/chain/replicate.rs|if self.is_ready \{ self.synced_to_tail\(\) \} else \{ Version\(0\) \}|self.synced_to_tail()|second_loss could_go_on
+leave-in-order|src/chain/leaving.rs|self.copies >= self.required_copies && self.votes >= self.majority|true|departure waits_for_the_others
 vote-passed-on|src/chain/view.rs|next.give_vacant_votes\(candidates\);(?=\s+next\s)||departure vote_passed_on
 stop-waits|src/sim/hurts_more.rs|if left \|\| w.now >= due|if true|departure waits_for_the_others
 log-folder-sync|src/kernel/log_file.rs|wrote.and_then\(\|\(\)\| self.folder.sync_folder\(\)\)|wrote|log_file power_goes_at_any_step
 log-discard|src/kernel/log_file.rs|self.discard_due = Some\(generation\);||log_file nothing_acknowledged_is_lost
 log-read-synced|src/kernel/log_file.rs|self.sync_what_was_read\(\*generation\)\?;||log_file what_it_read_is_still_there
 log-header|src/kernel/log_format.rs|Some\(\(other, _\)\) => return Content::OtherFormat\(other\),|Some(_) => {}|log_file refused_by_name
-log-bytes|src/chain/replication_log.rs|self.bytes >= BYTES_MAX && |false && |storm catches_up
+log-bytes|src/chain/replication_log.rs|self.bytes >= MAX_BYTES && |false && |storm catches_up
 journal-state|src/kernel/journal.rs|if carries_state\(&note\)|if false|storm catches_up
 snapshot-back|src/chain/join.rs|pred != Some\(from\) \|\| at <= self.log.last\(\)|pred != Some(from) \|\| at <= self.committed|snapshot comes_late
 lost-tail-reset|src/chain/replicate.rs|if synced > self.log.last\(\) \{|if false {|snapshot resets_and_joins
 stuck-grants|src/kernel/hold.rs|\|\| \(stuck && needs_no_disk\(&e\)\)||hold leave_at_once
 sync-reachable|src/membership/exchange.rs|let reached = self.table.rows.contains_key\(&from\);|let reached = true;|membership can_be_reached_is_asked
 name-itself|src/membership/exchange.rs|if !answers && rows|if false && rows|membership says_who_sends_it
-want-order|src/placement/wants.rs|\* self.count\(\) \* weight|* weight|wants goes_ahead_of_them
-lease-returned|src/chain/acceptor.rs|self.return_lease\(\*no, ctx\);||full_and_wiped served_in_each_case
+want-order|src/placement/wanted_names.rs|\* self.waiting_requests\(\) \* weight|* weight|wants goes_ahead_of_them
+lease-returned|src/chain/acceptor.rs|self.return_lease\(\*view_no, ctx\);||full_and_wiped served_in_each_case
 closing-synced|src/kernel/hold.rs|if self.queue.is_empty\(\) \{|if true {|closing read_back_everywhere
-return-current|src/chain/lease.rs|self.acceptor.granted != Some\(\(from, sent\)\)|false|lease_return waited_for
-late-grant|src/chain/lease.rs| \|\| sent <= self.lease.returned||lease_return late_grant
+return-current|src/chain/lease.rs|self.acceptor.granted_lease != Some\(\(from, sent\)\)|false|lease_return waited_for
+late-grant|src/chain/lease.rs| \|\| sent <= self.lease.returned_at||lease_return late_grant
 hopeless-votes|src/chain/view_change.rs|if !self.can_write\(ctx\) \|\| !self.has_writing_majority\(ctx\)|if false|full_and_wiped served_in_most_cases
 held-credit|src/gate/budget.rs| - self.held;|;|tries quiet_time
-reuse-quiet|src/http/connection.rs| \|\| !self.link.guard.is_quiet\(\)||platform_connection nobody_has_read_it_yet
-reuse-unread|src/http/exchange.rs|if !self.whole \{|if false {|platform_connection not_read_to_its_end
+reuse-quiet|src/http/connection.rs| \|\| !self.transport.guard.has_no_pending_input\(\)||platform_connection nobody_has_read_it_yet
+reuse-unread|src/http/exchange.rs|if !self.is_read_to_end \{|if false {|platform_connection not_read_to_its_end
 reuse-written|src/http/connection.rs|if !written \|\||if|platform_connection before_the_request_was_read
-reuse-close|src/http/connection.rs|if rest == Duration::ZERO \|\||if|platform_connection names_an_end
-reuse-rest|src/http/connection.rs|now >= self.until \|\||false \|\||platform_connection names_an_end
-drop-resets|src/http/connection.rs|self.guard.give_up\(\);||platform_gone long_body_half_way
+reuse-close|src/http/connection.rs|if keep_alive == Duration::ZERO \|\||if|platform_connection names_an_end
+reuse-rest|src/http/connection.rs|now >= self.expires_at \|\||false \|\||platform_connection names_an_end
+drop-resets|src/http/connection.rs|self.guard.reset_if_unacknowledged\(\);||platform_gone long_body_half_way
 interim|src/http/exchange.rs|if self.response.status\(\).is_informational\(\)|if false|platform_connection interim_status
-no-resend|src/http/attempt.rs|Err\(SendError::NotSent\) if used|Err(SendError::NotSent \| SendError::Unsure) if used|platform_gone after_a_request_came
+no-resend|src/http/attempt.rs|Err\(SendError::NotSent\) if was_used|Err(SendError::NotSent \| SendError::MaybeSent) if was_used|platform_gone after_a_request_came
 once-after-reset|src/forwarding/resume.rs|        \(self.order.resumable && !self.unplaced\) \|\| \(self|        true \|\| (self|platform_cuts_runner may_run_once
-own-id|src/platform/runner.rs|if other \{\s+return Verdict::Stray;|if false { return Verdict::Stray;|platform_links surplus_answer
+own-id|src/platform/runner.rs|if is_other_answer \{\s+return ResponseOrigin::Stray;|if false { return ResponseOrigin::Stray;|platform_links surplus_answer
 deadline-left|src/http/attempt.rs|job.order.end.since\(job.clock.now\(\)\)|job.order.aim|platform_links told_what_is_left
-caller-gone|src/http/forward.rs|_ = gone\(&mut c.first, &c.body\) => In::Gone,||platform_gone caller_that_leaves
+caller-gone|src/http/forward.rs|_ = client_gone\(&mut forwarder.response_tx, &forwarder.body\) => In::Gone,||platform_gone caller_that_leaves
 whole-by|src/forwarding/migration.rs|self.order.whole_by.is_some_and|None::<Time>.is_some_and|platform_gone answer_that_has_begun
 late-answer|src/forwarding/migration.rs|if !self.began && now >= self.order.end|if false|platform_gone late_answer
-head-size|src/http/serve.rs|if head_bytes\(&order\) > |if false && 0 > |platform_limits limit_on_heads
+head-size|src/http/request_service.rs|if head_bytes\(&request\) > |if false && 0 > |platform_limits limit_on_heads
 head-time|src/http/client.rs|now.since\(since\) > Span::ms\(limits.head_ms\)|false|platform_limits comes_slowly
 rest-time|src/http/client.rs|now.since\(since\) > limit.max|false && now.since(since) > limit.max|platform_limits at_rest
 rest-longer|src/http/client.rs|limit.max\(Span::ms\(limits.idle_ms\)\)|Span::ms(limits.idle_ms)|platform_limits limit_shrinks
@@ -126,20 +126,20 @@
 move-runners|src/forwarding/migration.rs|if self.opened >= self.order.tries \{\s+return;|if false { return;|forwarding most_runners
 order-digest|src/kernel/change_id.rs|hasher.update\(part\);|hasher.update(&part[..part.len().min(2)]);|order_identity digests_differ
 order-digest-lengths|src/kernel/change_id.rs|hasher.update\(\(part.len\(\) as u64\).to_le_bytes\(\)\);||order_identity digests_differ
-ledger-apart|src/fleet/ledger.rs|if !order.id.is_operators\(\) \{\s+return;\s+\}\s+self.taken|self.taken|order_identity thousands_of_internal
+ledger-apart|src/fleet/ledger.rs|if !change.id.is_operators\(\) \{\s+return;\s+\}\s+self.taken|self.taken|order_identity thousands_of_internal
 ledger-asked|src/fleet/state.rs|self.ledger.find\(id\).map\(Decision::Ledger\)|None|order_again older_than_the_memory
 ledger-in-snapshot|src/chain/recovery.rs|let state = Box::new\(state.clone\(\)\);|let mut state = Box::new(state.clone()); state.ledger = Default::default(); state.outcomes.clear();|order_again each_copy_has_it
 beyond-memory|src/chain/adoption.rs|if forgotten \{|if false {|order_again older_than_the_memory
-refusal-committed|src/chain/adoption.rs|Step::Refuse\(code, text, answer\)|{ drop(text); Step::Answer(answer) }|order_again stays_refused
-base-in-queue|src/chain/adoption.rs| \|\| self.adoptions.expects\(base\)||order_again slow_disks
+refusal-committed|src/chain/adoption.rs|AdoptionStep::Refuse\(code, text, answer\)(?=\s+\})|{ drop(text); AdoptionStep::Answer(answer) }|order_again stays_refused
+base-in-queue|src/chain/adoption.rs| \|\| self.adoptions.will_reach_revision\(base\)||order_again slow_disks
 one-per-base|src/fleet/fold.rs|if base != now \|\| config.revision <= now \{|if false {|order_killed eight_orders
 chain-first|src/kernel/lanes.rs|Msg::Chain\(_\) => Class::kept\(Lane::Chain\)|Msg::Chain(_) => Class::kept(Lane::Deferrable)|overload heartbeats_are_not_late
 deferrable-turn|src/kernel/input_queue.rs|self.passed_over\[\*lane as usize\] >= TURNS|false|input_queue each_gets_its_turn
 duty-lane|src/kernel/lanes.rs|Class::kept\(Lane::Duty\)|Class::kept(Lane::Deferrable)|input_queue neither_waits_behind_them
-runtime-turn|src/daemon/driver.rs|if self.clock.now\(\) >= turn_due \{|if false {|runtime_turns leave_all_the_same
-tell-pace|src/placement/push.rs|match router_count\(ctx.views\)|match self.tells.len()|placement_steps few_times_a_second
-round-half|src/placement/round.rs|else \{ round.half\(\) \}|else { Reserve::default() }|placement_shares for_the_names
-outcomes-kept|src/kernel/lanes.rs|Event::Report \{ .. \} \| Event::Ordered \{ .. \} => Class::kept|Event::Report { .. } \| Event::Ordered { .. } => Class::droppable|input_queue may_be_lost_goes
+runtime-turn|src/daemon/driver.rs|if self.clock.now\(\) >= turn_due_at \{|if false {|runtime_turns leave_all_the_same
+tell-pace|src/placement/holdings_push.rs|match router_count\(ctx.views\)|match self.router_reports.len()|placement_steps few_times_a_second
+round-half|src/placement/decision_round.rs|else \{ round.half_reserve\(\) \}|else { Reserve::default() }|placement_shares for_the_names
+outcomes-kept|src/kernel/lanes.rs|Event::RunnerReport \{ .. \} \| Event::OrderAnswered \{ .. \} => Class::kept|Event::RunnerReport { .. } \| Event::OrderAnswered { .. } => Class::droppable|input_queue may_be_lost_goes
 live-orders-kept|src/kernel/lanes.rs|replaceable: tell.live.is_empty\(\)|replaceable: true|input_queue not_lost_and_order_is_kept
 bulk-behind|src/kernel/input_queue.rs|LANES.into_iter\(\).find\(waits\)|LANES.into_iter().rev().find(waits)|links it_goes_out_first
 quota-asked|src/http/quota.rs|if tenant.quota.is_none\(\)|if true|quota_request gets_429
@@ -149,8 +149,8 @@
 quota-lease|src/constraints/tenant_share.rs|self.tokens.retain\(\|tokens\| now < tokens.valid_until\);||quota_share lease_has_run_out
 quota-missed-view|src/constraints/counters.rs|old.filter\(\|old\| old.no.next\(\) == view.no\)|old|quota_owner missed_a_view
 quota-handed-once|src/constraints/handover.rs|self.given_up.remove\(tenant\)\?|*self.given_up.get(tenant)?|quota_owner goes_on_with_its_count
-quota-limits-known|src/constraints/owner.rs| && config_at == ctx.views.state.config_at||quota_owner older_limits_than_the_tail
-quota-tail-lease|src/constraints/authority.rs| && ctx.now < role.until||quota_owner tail_without_its_lease
+quota-limits-known|src/constraints/owner.rs| && config_version == ctx.views.state.config_version||quota_owner older_limits_than_the_tail
+quota-tail-lease|src/constraints/authority.rs| && ctx.now < role.lease_until||quota_owner tail_without_its_lease
 R
 }
 
@@ -168,6 +168,7 @@
 # Puts a copy of `file` without the guard at `target`; fails if the guard's line isn't there.
 switch_off() {
   local file=$1 target=$2
+  [ -f "$file" ] || return 1
   FROM=$3 TO=$4 perl -0pe 's/$ENV{FROM}/$ENV{TO}/g' "$file" > "$target.off" || return 1
   cmp -s "$file" "$target.off" && { rm "$target.off"; return 1; }
   mv "$target.off" "$target"
