--- a/src/daemon/effect_handler.rs
+++ b/src/daemon/effect_handler.rs
@@ -5,7 +5,7 @@
 use super::runner_calls;
 use super::runner_list_poller::RunnerListPoller;
 use crate::chain::leaving::Departure;
-use crate::gate::Table;
+use crate::gate::BalancerTable;
 use crate::http::pool::Pool;
 use crate::kernel::time::Clock;
 use crate::msg::*;
@@ -18,7 +18,7 @@
 
 /// Carries out the effects of the node that concern routing, calls to runners and readiness.
 pub(super) fn act(
-    table: &Arc<Table>,
+    table: &Arc<BalancerTable>,
     clock: &Arc<dyn Clock>,
     pool: &Arc<Pool>,
     node: &NodeHandle,
@@ -32,15 +32,17 @@
     let departure = departure.clone();
     let runtime = tokio::runtime::Handle::current();
     Box::new(move |effect| match effect {
-        Effect::Topic { scope, at, slice, proven } => table.learn(clock.now(), &scope, at, slice, proven),
-        Effect::ServingLease { scopes, until } => table.lease(clock.now(), &scopes, until),
-        Effect::RunnerLeaving(name) => table.mark(clock.now(), &name),
+        Effect::Topic { scope, at, slice, proven } => {
+            table.apply_slice(clock.now(), &scope, at, slice, proven)
+        }
+        Effect::ServingLease { scopes, until } => table.extend_leases(clock.now(), &scopes, until),
+        Effect::RunnerLeaving(name) => table.mark_leaving(clock.now(), &name),
         Effect::RouterCount(n) => routers.store(n, Ordering::SeqCst),
         Effect::PollRunners(list) => *runners.lock().unwrap() = list,
         Effect::HoldsDuty(on) => drop(list.as_ref().map(|l| l.set_enabled(on))),
         Effect::ReadList => drop(list.as_ref().map(|l| l.read_now())),
-        Effect::Holdings(rows) => table.held(clock.now(), &rows),
-        Effect::QuotaGranted(grants) => table.quota.lock().unwrap().granted(clock.now(), &grants),
+        Effect::Holdings(rows) => table.on_holdings(clock.now(), &rows),
+        Effect::QuotaGranted(grants) => table.quota.lock().unwrap().on_granted(clock.now(), &grants),
         Effect::PollRunner(name) => {
             let found = runners.lock().unwrap().iter().find(|runner| runner.instance == name).cloned();
             let Some(runner) = found else { return };
--- a/src/daemon/router_tasks.rs
+++ b/src/daemon/router_tasks.rs
@@ -1,7 +1,7 @@
 //! The periodic work of a router's process: reports of its state to the node, and the ticks of its balancers.
 
 use super::input::NodeHandle;
-use crate::gate::Table;
+use crate::gate::BalancerTable;
 use crate::http::recent_requests::RecentRequest;
 use crate::http::request_service::RequestService;
 use crate::kernel::time::Clock;
@@ -17,17 +17,17 @@
 
 /// Starts what only a router does: it reports its state and its wants to the node, and ticks its balancers.
 pub(super) fn router_tasks(
-    table: &Arc<Table>,
+    table: &Arc<BalancerTable>,
     clock: &Arc<dyn Clock>,
     node: &NodeHandle,
     front: &Arc<RequestService>,
     routers: &Arc<AtomicU64>,
 ) {
     let inbox = Mutex::new(node.clone());
-    table.on_want(Arc::new(move |want| inbox.lock().unwrap().send(Event::NameWanted(want))));
+    table.set_load_requester(Arc::new(move |want| inbox.lock().unwrap().send(Event::NameWanted(want))));
     let inbox = Mutex::new(node.clone());
     let asker = move |demand| inbox.lock().unwrap().send(Event::QuotaWanted(demand));
-    table.quota.lock().unwrap().on_wanted(Arc::new(asker));
+    table.quota.lock().unwrap().set_demand_handler(Arc::new(asker));
     let service = front.clone();
     let recent = Arc::new(move || service.recent.rows());
     tokio::spawn(publish_router_state(table.clone(), clock.clone(), recent, node.clone()));
@@ -49,7 +49,7 @@
 /// Reports the state of this router to its node every 250 ms, with the result of rehearsing the current candidate
 /// configuration. Each candidate is rehearsed once; `recent` gives the requests that it is rehearsed against.
 async fn publish_router_state(
-    table: Arc<Table>,
+    table: Arc<BalancerTable>,
     clock: Arc<dyn Clock>,
     recent: Arc<dyn Fn() -> Vec<RecentRequest> + Send + Sync>,
     node: NodeHandle,
@@ -59,12 +59,12 @@
     let mut rounds = 0u64;
     loop {
         tick.tick().await;
-        let mut tell = table.tell(clock.now());
+        let mut tell = table.router_report(clock.now());
         rounds += 1;
         if rounds.is_multiple_of(TRAFFIC_EVERY_ROUNDS) {
             tell.live = crate::gate::rehearse::live(&table, clock.now(), &recent());
         }
-        if let (at, Some(t)) = table.trial() {
+        if let (at, Some(t)) = table.candidate() {
             let done: Option<(_, crate::msg::RehearsalResult)> =
                 last_rehearsal.take().filter(|l: &(_, _)| l.0 == at);
             let row = match done {
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -14,7 +14,7 @@
 use super::router_tasks::router_tasks;
 use super::signals::Signals;
 use crate::chain::leaving::Departure;
-use crate::gate::Table;
+use crate::gate::BalancerTable;
 use crate::http::client::ClientConnections;
 use crate::http::pool::Pool;
 use crate::http::request_service::RequestService;
@@ -106,8 +106,11 @@
     let services = Arc::new(Registry::default());
     let links = Links::new(tokio::runtime::Handle::current());
     let table = Arc::new(match config.protocols.runner.plain_services_report() {
-        true => Table::new(config.domain.clone(), Span::ms(config.freshness_limit_ms)),
-        false => Table::bare(config.domain.clone(), Span::ms(config.freshness_limit_ms)),
+        true => BalancerTable::new(config.domain.clone(), Span::ms(config.freshness_limit_ms)),
+        false => BalancerTable::with_unpolled_plain_runners(
+            config.domain.clone(),
+            Span::ms(config.freshness_limit_ms),
+        ),
     });
     services.add(links.clone());
     services.add(table.clone());
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -4,7 +4,7 @@
 use super::input::NodeHandle;
 use super::links::Links;
 use super::listener::serve_admin;
-use crate::gate::Table;
+use crate::gate::BalancerTable;
 use crate::http::admin::AdminApi;
 use crate::http::request_service::RequestService;
 use crate::kernel::time::Time;
@@ -59,7 +59,7 @@
 }
 
 /// The metrics of quotas.
-fn quota_metrics(table: &Table, now: Time) -> String {
+fn quota_metrics(table: &BalancerTable, now: Time) -> String {
     let mut shares = table.quota.lock().unwrap();
     let counts = shares.counts();
     let mut out = String::new();
@@ -76,27 +76,27 @@
 }
 
 /// The metrics of each service's balancer.
-fn gate_metrics(table: &Table, now: Time) -> String {
+fn gate_metrics(table: &BalancerTable, now: Time) -> String {
     let mut out = String::new();
-    for gate in table.gates() {
-        let gate = gate.lock().unwrap();
-        let name = gate.name.clone();
-        let credit = gate.tries.credit();
+    for balancer in table.balancers() {
+        let balancer = balancer.lock().unwrap();
+        let name = balancer.service.clone();
+        let credit = balancer.retry_budget.credit();
         let mut row = |key: &str, value: f64| {
             let _ = writeln!(out, "spindledock_{key}{{service=\"{name}\"}} {value}");
         };
-        row("inbox", gate.inbox.len() as f64);
-        row("first_sends", gate.tries.first as f64);
-        row("extra_tries", gate.tries.extra as f64);
+        row("inbox", balancer.queue.len() as f64);
+        row("first_sends", balancer.retry_budget.first_sends as f64);
+        row("extra_tries", balancer.retry_budget.extra_sends as f64);
         row("retry_credit", credit);
-        row("reserved_tries", gate.tries.reserved() as f64);
-        row("freshness_age_ms", now.since(gate.proven).as_ms() as f64);
-        row("expected_wait_ms", gate.waits.as_ms() as f64);
-        row("version", gate.at.0 as f64);
-        for (key, n) in gate.counts.clone() {
+        row("reserved_tries", balancer.retry_budget.reserved() as f64);
+        row("freshness_age_ms", now.since(balancer.proven_at).as_ms() as f64);
+        row("expected_wait_ms", balancer.last_expected_wait.as_ms() as f64);
+        row("version", balancer.slice_version.0 as f64);
+        for (key, n) in balancer.counters.clone() {
             row(key, n as f64);
         }
-        let active: u64 = gate.active.values().sum();
+        let active: u64 = balancer.active_requests.values().sum();
         row("active", active as f64);
     }
     out
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -3,7 +3,7 @@
 
 use super::input::NodeHandle;
 use crate::chain::leaving::Departure;
-use crate::gate::Table;
+use crate::gate::BalancerTable;
 use crate::http::request_service::RequestService;
 use crate::kernel::time::{Clock, Span, Time};
 use crate::msg::{Event, Role};
@@ -27,7 +27,7 @@
     /// The service that answers clients.
     pub front: Arc<RequestService>,
     /// The balancers in which requests wait.
-    pub table: Arc<Table>,
+    pub table: Arc<BalancerTable>,
     /// The clock of the limits.
     pub clock: Arc<dyn Clock>,
     /// The node of this process.
--- a/src/forwarding/attempt.rs
+++ b/src/forwarding/attempt.rs
@@ -1,176 +1,195 @@
+//! A single attempt at a runner, and the events of the main attempt.
+
 use super::answer_end::AnswerEnd;
 use super::request::*;
-use super::resume::Joined;
+use super::resume::ContinuationCheck;
 use crate::fleet::runner::Runner;
-use crate::gate::{Gate, Refusal};
+use crate::gate::{Balancer, Refusal};
 use crate::kernel::ids::*;
 use crate::kernel::time::Time;
 use crate::transfer::event_boundary::EventBoundary;
-use crate::transfer::event_buffer::{Item, Splitter};
+use crate::transfer::event_buffer::{EventSplitter, StreamEvent};
 
-/// What the first event of a run must be, so that the stream can go on with it.
+/// What the first event of an attempt must be to continue the stream.
 #[derive(Clone, PartialEq, Debug)]
-pub enum Join {
-    /// The first run, or one whose first event was found right: anything goes.
-    Open,
-    /// The last event that was passed on, once more; it is not passed on again.
-    Repeat(Item),
-    /// The event behind the last one that was passed on.
+pub enum ExpectedFirst {
+    /// Anything: the first attempt, or one whose first event was checked.
+    Any,
+    /// The last event forwarded, repeated; it is not forwarded again.
+    Repeat(StreamEvent),
+    /// The event after the last one forwarded.
     Next,
 }
 
-/// One attempt at a runner, as the request's state machine sees it.
+/// An attempt at a runner.
 pub struct RunnerAttempt {
+    /// Its number.
     pub no: AttemptNo,
+    /// The runner.
     pub runner: Runner,
-    pub cut: Splitter,
-    pub head: bool,
-    pub since: Time,
-    pub buffer: Vec<Item>,
-    /// Where the run stands in its stream.
+    /// Splits the body into events.
+    pub splitter: EventSplitter,
+    /// Whether the head of its answer has come.
+    pub has_head: bool,
+    /// When it was opened.
+    pub opened_at: Time,
+    /// Unused events.
+    pub buffer: Vec<StreamEvent>,
+    /// Whether the stream is between two events or inside one.
     pub boundary: EventBoundary,
-    /// Its end, kept while its last events are still to be passed on.
-    pub ended: Option<AnswerEnd>,
-    pub join: Join,
+    /// Its end, if its last events are still to be forwarded.
+    pub deferred_end: Option<AnswerEnd>,
+    /// What its first event must be.
+    pub expected_first: ExpectedFirst,
 }
 
 impl RunnerAttempt {
+    /// An attempt that may begin with any event.
     pub fn new(no: AttemptNo, runner: Runner, since: Time) -> RunnerAttempt {
-        let cut = Splitter::default();
+        let cut = EventSplitter::default();
         RunnerAttempt {
             no,
             runner,
-            cut,
-            head: false,
-            since,
+            splitter: cut,
+            has_head: false,
+            opened_at: since,
             buffer: Vec::new(),
             boundary: EventBoundary::default(),
-            ended: None,
-            join: Join::Open,
+            deferred_end: None,
+            expected_first: ExpectedFirst::Any,
         }
     }
 }
 
 impl RequestFlow {
+    /// The attempt with this number, if it is open.
     pub fn attempt(&mut self, no: AttemptNo) -> Option<&mut RunnerAttempt> {
-        self.attempts.iter_mut().find(|l| l.no == no)
+        self.attempts.iter_mut().find(|run| run.no == no)
     }
 
-    /// The head of a run's answer has come.
-    pub fn head_came(&mut self, attempt: AttemptNo) {
+    /// Records that the head of an answer has come.
+    pub fn on_head(&mut self, attempt: AttemptNo) {
         if let Some(run) = self.attempt(attempt) {
-            run.head = true;
+            run.has_head = true;
         }
     }
 
-    pub fn head(
+    /// Handles the head of the main attempt: forwards the first one; a later one must be a stream to continue with.
+    pub fn on_main_head(
         &mut self,
         now: Time,
         attempt: AttemptNo,
         status: u16,
         stream: bool,
-        gate: &mut Gate,
-        out: &mut Vec<Out>,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
     ) {
         let fit = stream && status == 200;
-        self.heard = now;
-        let Some(l) = self.attempt(attempt) else { return };
-        l.head = true;
-        let runner = l.runner.instance.clone();
-        if self.began {
+        self.heard_at = now;
+        let Some(run) = self.attempt(attempt) else { return };
+        run.has_head = true;
+        let runner = run.runner.instance.clone();
+        if self.is_answer_started {
             if !fit {
-                self.close(now, attempt, Some(false), gate, out);
-                self.resume(now, runner, gate, out);
+                self.close(now, attempt, Some(false), balancer, out);
+                self.resume(now, runner, balancer, out);
             }
             return;
         }
-        self.began = true;
-        self.sent = true;
-        self.stream = fit;
-        gate.count(if status < 500 { "answered" } else { "answered_5xx" });
-        out.push(Out::Head { attempt });
+        self.is_answer_started = true;
+        self.may_have_run = true;
+        self.is_stream = fit;
+        balancer.count(if status < 500 { "answered" } else { "answered_5xx" });
+        out.push(FlowAction::Head { attempt });
     }
 
-    /// An event of the request's own run: the first one must go on where the stream stands.
-    pub fn joined_item(
+    /// Handles an event of the main attempt; the first one must continue the stream.
+    pub fn on_main_item(
         &mut self,
         now: Time,
         attempt: AttemptNo,
-        item: Item,
-        gate: &mut Gate,
-        out: &mut Vec<Out>,
+        item: StreamEvent,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
     ) {
-        match self.joined(attempt, &item) {
-            Joined::Goes => {
-                self.source_heard(now, gate, out);
-                self.main_item(now, item, gate, out);
+        match self.check_continuation(attempt, &item) {
+            ContinuationCheck::Continues => {
+                self.close_unneeded_standby(now, balancer, out);
+                self.on_source_item(now, item, balancer, out);
             }
-            Joined::Skipped => {}
-            Joined::Differs(how) => self.main_differs(now, attempt, &how, gate, out),
+            ContinuationCheck::Skip => {}
+            ContinuationCheck::Differs(how) => self.on_main_differs(now, attempt, &how, balancer, out),
         }
     }
 
-    pub fn pass_item(&mut self, item: Item, out: &mut Vec<Out>) {
+    /// Forwards an event and records its place.
+    pub fn forward_event(&mut self, item: StreamEvent, out: &mut Vec<FlowAction>) {
         if let Some(id) = &item.id {
-            self.prev = self.sequence.last().map(|last| last.to_string());
+            self.previous_event_id = self.sequence.last().map(|last| last.to_string());
             self.sequence.push(id);
-            self.tail = Some(item.clone());
-            self.unplaced = false;
+            self.last_event = Some(item.clone());
+            self.has_event_without_id = false;
         } else {
-            self.unplaced |= item.has_data();
+            self.has_event_without_id |= item.has_data();
         }
-        self.passed += 1;
-        out.push(Out::Pass(item.raw));
+        self.events_forwarded += 1;
+        out.push(FlowAction::Forward(item.raw));
     }
 
-    /// Whether `end` may be the honest one of this run: a stream whose end only its connection says ends behind a whole
-    /// event, and a run that was to go on with a stream has given an event that does.
-    fn may_end(&mut self, attempt: AttemptNo, end: AnswerEnd) -> bool {
-        let stream = self.stream;
-        self.attempt(attempt).is_some_and(|l| {
-            let said = !stream || end == AnswerEnd::Framed || l.boundary.may_end();
-            said && l.join == Join::Open
+    /// Whether `end` can be a regular end. A stream that ends with its connection must be between two events, and an attempt
+    /// that was to continue a stream must have done so.
+    fn is_end_plausible(&mut self, attempt: AttemptNo, end: AnswerEnd) -> bool {
+        let stream = self.is_stream;
+        self.attempt(attempt).is_some_and(|run| {
+            let said = !stream || end == AnswerEnd::Framed || run.boundary.may_end();
+            said && run.expected_first == ExpectedFirst::Any
         })
     }
 
-    pub fn ended(
+    /// Handles the end of the main attempt; an implausible one counts as a loss.
+    pub fn on_main_end(
         &mut self,
         now: Time,
         attempt: AttemptNo,
         end: AnswerEnd,
-        gate: &mut Gate,
-        out: &mut Vec<Out>,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
     ) {
-        if !self.may_end(attempt, end) {
-            gate.count("ended_early");
-            return self.lost(now, attempt, gate, out);
+        if !self.is_end_plausible(attempt, end) {
+            balancer.count("ended_early");
+            return self.on_main_lost(now, attempt, balancer, out);
         }
-        self.source_ended(now, gate, out);
-        if let Some(l) = self.attempt(attempt) {
-            let rest = l.cut.rest();
+        self.on_source_end(now, balancer, out);
+        if let Some(run) = self.attempt(attempt) {
+            let rest = run.splitter.take_rest();
             if !rest.is_empty() {
-                out.push(Out::Pass(rest));
+                out.push(FlowAction::Forward(rest));
             }
         }
-        if let Some(l) = self.attempt(attempt) {
-            let held = now.since(l.since);
-            gate.ended(&self.order.model, held);
+        if let Some(run) = self.attempt(attempt) {
+            let held = now.since(run.opened_at);
+            balancer.record_occupancy(&self.spec.model, held);
         }
-        self.close(now, attempt, Some(true), gate, out);
-        self.close_all(now, gate, out);
-        gate.count("finished");
-        out.push(Out::Finish);
+        self.close(now, attempt, Some(true), balancer, out);
+        self.close_all(now, balancer, out);
+        balancer.count("finished");
+        out.push(FlowAction::Finish);
     }
 
-    /// What is known of a request as it ends without a whole answer: for the log.
-    pub fn standing(&self, refusal: &Refusal, gate: &Gate) -> String {
+    /// Log text for a request that ends without a complete answer.
+    pub fn failure_summary(&self, refusal: &Refusal, balancer: &Balancer) -> String {
         let last = self.sequence.last().unwrap_or("none");
-        let (opened, most, credit) = (self.opened, self.order.tries, gate.tries.credit());
+        let (opened, most, credit) =
+            (self.attempts_opened, self.spec.max_attempts, balancer.retry_budget.credit());
         let why = refusal.code();
-        format!("{why} passed={} last={last} attempts={opened}/{most} credit={credit:.1}", self.passed)
+        format!(
+            "{why} passed={} last={last} attempts={opened}/{most} credit={credit:.1}",
+            self.events_forwarded
+        )
     }
 
+    /// The runner of an attempt.
     pub fn runner_of(&mut self, attempt: AttemptNo) -> Option<Name> {
-        self.attempt(attempt).map(|l| l.runner.instance.clone())
+        self.attempt(attempt).map(|run| run.runner.instance.clone())
     }
 }
--- a/src/forwarding/failure.rs
+++ b/src/forwarding/failure.rs
@@ -1,63 +1,80 @@
-//! What follows when a runner cannot be reached, or is lost with a request under way.
+//! What happens when the main attempt cannot be opened or is lost.
 
 use super::request::*;
 use crate::fleet::config::RouteKind;
-use crate::gate::order::Why;
-use crate::gate::{Gate, Plan, Refusal};
+use crate::gate::order::RefusalReason;
+use crate::gate::{Balancer, Refusal, RoutingDecision};
 use crate::kernel::time::Time;
 
 impl RequestFlow {
-    pub fn open_failed(
+    /// Handles an attempt of which nothing was sent: tries another runner, on the retry budget if the runner was unreachable.
+    pub fn on_open_failed(
         &mut self,
         now: Time,
         attempt: AttemptNo,
-        why: Option<Why>,
-        gate: &mut Gate,
-        out: &mut Vec<Out>,
+        why: Option<RefusalReason>,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
     ) {
-        self.opened = self.opened.saturating_sub(1);
-        let Some(runner) = self.attempt(attempt).map(|l| l.runner.instance.clone()) else { return };
+        self.attempts_opened = self.attempts_opened.saturating_sub(1);
+        let Some(runner) = self.attempt(attempt).map(|run| run.runner.instance.clone()) else { return };
         let good = if why.is_none() { Some(false) } else { None };
-        self.close(now, attempt, good, gate, out);
-        if self.began || self.sent {
-            return self.resume(now, runner, gate, out);
+        self.close(now, attempt, good, balancer, out);
+        if self.is_answer_started || self.may_have_run {
+            return self.resume(now, runner, balancer, out);
         }
         match why {
-            Some(Why::Due) => self.refuse(now, Refusal::new(Why::Due, 1), gate, out),
+            Some(RefusalReason::DeadlinePassed) => {
+                self.refuse(now, Refusal::new(RefusalReason::DeadlinePassed, 1), balancer, out)
+            }
             Some(_) => {
-                let plan = gate.plan(now, &self.order, &self.avoid);
-                self.again(now, plan, gate, out);
+                let decision = balancer.route(now, &self.spec, &self.avoid);
+                self.apply_retry_decision(now, decision, balancer, out);
             }
             None => {
-                gate.unreachable(now, &runner);
-                gate.count("open_failed");
+                balancer.on_unreachable(now, &runner);
+                balancer.count("open_failed");
                 self.avoid.push(runner);
-                if !gate.tries.spend() {
-                    return self.refuse(now, Refusal::new(Why::NoBudget, 1), gate, out);
+                if !balancer.retry_budget.try_spend() {
+                    return self.refuse(now, Refusal::new(RefusalReason::RetryBudgetSpent, 1), balancer, out);
                 }
-                let plan = gate.plan(now, &self.order, &self.avoid);
-                self.again(now, plan, gate, out);
+                let decision = balancer.route(now, &self.spec, &self.avoid);
+                self.apply_retry_decision(now, decision, balancer, out);
             }
         }
     }
 
-    pub fn again(&mut self, now: Time, plan: Plan, gate: &mut Gate, out: &mut Vec<Out>) {
-        match plan {
-            Plan::Send(runner) => self.open_main(now, runner, out),
-            Plan::Wait(_) => self.wait(out),
-            Plan::Refuse(r) => self.refuse(now, r, gate, out),
+    /// Applies a decision on a further attempt.
+    pub fn apply_retry_decision(
+        &mut self,
+        now: Time,
+        decision: RoutingDecision,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
+        match decision {
+            RoutingDecision::Send(runner) => self.open_main(now, runner, out),
+            RoutingDecision::Wait(_) => self.wait_for_runner(out),
+            RoutingDecision::Refuse(r) => self.refuse(now, r, balancer, out),
         }
     }
 
-    pub fn lost(&mut self, now: Time, attempt: AttemptNo, gate: &mut Gate, out: &mut Vec<Out>) {
-        let Some(runner) = self.attempt(attempt).map(|l| l.runner.instance.clone()) else { return };
-        self.source_failed(now, gate, out);
-        self.sent = true;
-        self.close(now, attempt, Some(false), gate, out);
-        gate.count("lost");
-        if self.stream || !self.began || self.order.kind == RouteKind::Idempotent {
-            return self.resume(now, runner, gate, out);
+    /// Handles the loss of the main attempt: continues elsewhere if the request may run again.
+    pub fn on_main_lost(
+        &mut self,
+        now: Time,
+        attempt: AttemptNo,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
+        let Some(runner) = self.attempt(attempt).map(|run| run.runner.instance.clone()) else { return };
+        self.on_source_failed(now, balancer, out);
+        self.may_have_run = true;
+        self.close(now, attempt, Some(false), balancer, out);
+        balancer.count("lost");
+        if self.is_stream || !self.is_answer_started || self.spec.route_kind == RouteKind::Idempotent {
+            return self.resume(now, runner, balancer, out);
         }
-        self.refuse(now, Refusal::new(Why::NoRunner, 1), gate, out);
+        self.refuse(now, Refusal::new(RefusalReason::NoRunner, 1), balancer, out);
     }
 }
--- a/src/forwarding/request.rs
+++ b/src/forwarding/request.rs
@@ -1,247 +1,244 @@
-use super::answer_end::AnswerEnd;
+//! State of a request, its events, and opening and closing of attempts.
+
 use super::attempt::RunnerAttempt;
 use crate::fleet::runner::Runner;
-use crate::gate::order::Why;
-use crate::gate::{Gate, Order, Plan, Refusal};
+use crate::gate::{Balancer, Refusal, RequestSpec, RoutingDecision};
 use crate::kernel::ids::*;
 use crate::kernel::time::{Span, Time};
-use crate::protocol::Load;
 use crate::transfer::Handover;
 use crate::transfer::continuation::Sequence;
-use crate::transfer::event_buffer::Item;
-use bytes::Bytes;
-
-pub const QUIET: Span = Span::ms(30_000);
-pub const DARK_QUIET: Span = Span::ms(1500);
-pub const SLEPT: Span = Span::ms(500);
-
-pub type AttemptNo = u64;
-
-#[derive(Debug)]
-pub enum In {
-    Go,
-    Woken(Plan),
-    OpenFailed { attempt: AttemptNo, why: Option<Why> },
-    Lost { attempt: AttemptNo },
-    Shed { attempt: AttemptNo, gone: bool },
-    Load { attempt: AttemptNo, load: Load },
-    Head { attempt: AttemptNo, status: u16, stream: bool },
-    Chunk { attempt: AttemptNo, raw: Bytes },
-    End { attempt: AttemptNo, end: AnswerEnd },
-    Gone,
-    Tick,
-}
+use crate::transfer::event_buffer::StreamEvent;
 
-impl In {
-    /// The attempt that the event is about.
-    pub fn attempt(&self) -> Option<AttemptNo> {
-        match self {
-            In::OpenFailed { attempt, .. } | In::Lost { attempt } | In::Head { attempt, .. } => {
-                Some(*attempt)
-            }
-            In::Shed { attempt, .. } | In::Load { attempt, .. } => Some(*attempt),
-            In::Chunk { attempt, .. } | In::End { attempt, .. } => Some(*attempt),
-            In::Go | In::Woken(_) | In::Gone | In::Tick => None,
-        }
-    }
-}
+pub use super::events::{AttemptNo, FlowAction, FlowEvent};
 
-#[derive(Debug)]
-pub enum Out {
-    Wait { avoid: Vec<Name> },
-    Open { attempt: AttemptNo, runner: Runner, last: Option<String> },
-    Close { attempt: AttemptNo },
-    Head { attempt: AttemptNo },
-    Pass(Bytes),
-    Finish,
-    Break(&'static str),
-    Refuse(Refusal),
-    Unknown(u16, &'static str),
-    Told(&'static str, String),
-}
+/// Longest silence of a runner after its answer has begun.
+pub const SILENCE_LIMIT: Span = Span::ms(30_000);
+/// Silence after which a runner without recent report is replaced, if the request may run again.
+pub const UNREPORTED_SILENCE_LIMIT: Span = Span::ms(1500);
+/// A pause between ticks that shows that this process did not run; the silence of the runner is then not counted.
+pub const PROCESS_PAUSE: Span = Span::ms(500);
 
+/// One request, from arrival to the end of its answer.
 pub struct RequestFlow {
-    pub order: Order,
+    /// The request.
+    pub spec: RequestSpec,
+    /// Attempts in progress.
     pub attempts: Vec<RunnerAttempt>,
+    /// The attempt whose answer the client gets.
     pub main: AttemptNo,
-    pub next: AttemptNo,
+    /// Number of the next attempt.
+    pub next_attempt: AttemptNo,
+    /// Runners that failed or rejected the request.
     pub avoid: Vec<Name>,
-    pub began: bool,
-    pub sent: bool,
-    pub counted: bool,
-    /// The ids that were passed on.
+    /// Whether the head of an answer was forwarded.
+    pub is_answer_started: bool,
+    /// Whether a runner may have begun to execute the request.
+    pub may_have_run: bool,
+    /// Whether it was counted as a first attempt in the retry budget.
+    pub is_counted: bool,
+    /// Ids of the events forwarded.
     pub sequence: Sequence,
-    pub prev: Option<String>,
-    pub tail: Option<Item>,
-    pub passed: u64,
-    /// Whether an event without an id was passed on behind the last one with an id.
-    pub unplaced: bool,
-    pub opened: u64,
-    pub hand: Option<(AttemptNo, Handover)>,
-    pub reserved: u64,
-    pub hand_off: Option<(MoveId, Time, u64)>,
-    pub over: bool,
-    /// Whether it waits for a runner, by its last word to the forwarding.
-    waiting: bool,
-    pub heard: Time,
-    pub ticked: Time,
-    pub stream: bool,
-    /// Another run that may go on with the stream while its own runner is silent.
+    /// Id of the event before the last one with an id.
+    pub previous_event_id: Option<String>,
+    /// The last event with an id that was forwarded.
+    pub last_event: Option<StreamEvent>,
+    /// Number of events forwarded.
+    pub events_forwarded: u64,
+    /// Whether an event with data and no id was forwarded after the last one with an id. The stream cannot be continued then.
+    pub has_event_without_id: bool,
+    /// Attempts that count against the limit of the route.
+    pub attempts_opened: u64,
+    /// A move of the stream in progress, and the attempt at its destination.
+    pub handover: Option<(AttemptNo, Handover)>,
+    /// Attempts reserved in the retry budget for that move.
+    pub reserved_attempts: u64,
+    /// The move that last failed or was postponed, when it may be tried again, and how often it failed.
+    pub last_handover: Option<(MoveId, Time, u64)>,
+    /// Whether the request has ended.
+    pub is_over: bool,
+    /// Whether it waits for a runner.
+    is_waiting: bool,
+    /// When the main attempt last sent something.
+    pub heard_at: Time,
+    /// When the last tick came.
+    pub ticked_at: Time,
+    /// Whether the answer is an event stream.
+    pub is_stream: bool,
+    /// An attempt that may take over while the main one is silent.
     pub standby: Option<AttemptNo>,
-    /// No standby is looked for before.
-    pub standby_next: Time,
+    /// No standby is opened earlier.
+    pub next_standby_at: Time,
 }
 
 impl RequestFlow {
-    pub fn new(order: Order) -> RequestFlow {
-        let sequence = Sequence::after(order.last.clone());
+    /// A request that has not started.
+    pub fn new(spec: RequestSpec) -> RequestFlow {
+        let sequence = Sequence::after(spec.last_event_id.clone());
         RequestFlow {
-            order,
+            spec,
             attempts: Vec::new(),
             main: 0,
-            next: 1,
+            next_attempt: 1,
             avoid: Vec::new(),
-            began: false,
-            sent: false,
-            counted: false,
+            is_answer_started: false,
+            may_have_run: false,
+            is_counted: false,
             sequence,
-            prev: None,
-            tail: None,
-            passed: 0,
-            unplaced: false,
-            opened: 0,
-            hand: None,
-            reserved: 0,
-            hand_off: None,
-            over: false,
-            waiting: false,
-            heard: Time(0),
-            ticked: Time(0),
-            stream: false,
+            previous_event_id: None,
+            last_event: None,
+            events_forwarded: 0,
+            has_event_without_id: false,
+            attempts_opened: 0,
+            handover: None,
+            reserved_attempts: 0,
+            last_handover: None,
+            is_over: false,
+            is_waiting: false,
+            heard_at: Time(0),
+            ticked_at: Time(0),
+            is_stream: false,
             standby: None,
-            standby_next: Time(0),
+            next_standby_at: Time(0),
         }
     }
 
-    pub fn step(&mut self, now: Time, ev: In, gate: &mut Gate) -> Vec<Out> {
+    /// Handles an event and returns what is to be done.
+    pub fn step(&mut self, now: Time, ev: FlowEvent, balancer: &mut Balancer) -> Vec<FlowAction> {
         let mut out = Vec::new();
-        if let In::Woken(plan) = &ev
-            && !std::mem::take(&mut self.waiting)
+        if let FlowEvent::Routed(decision) = &ev
+            && !std::mem::take(&mut self.is_waiting)
         {
-            self.decline(now, plan, gate);
+            self.return_unused_slot(now, decision, balancer);
             return out;
         }
-        if self.over || self.is_stray(&ev) {
+        if self.is_over || self.is_stray(&ev) {
             return out;
         }
-        if let Some((_, hand)) = &mut self.hand {
-            hand.more = gate.tries.credit() >= 1.0;
+        if let Some((_, handover)) = &mut self.handover {
+            handover.has_credit = balancer.retry_budget.credit() >= 1.0;
         }
         match ev {
-            In::Go => {
-                let plan = gate.enter(now, &self.order);
-                self.carry(now, plan, gate, &mut out);
+            FlowEvent::Start => {
+                let decision = balancer.route_new(now, &self.spec);
+                self.apply_decision(now, decision, balancer, &mut out);
             }
-            In::Woken(plan) => self.carry(now, plan, gate, &mut out),
-            In::Load { attempt, load } => self.told_load(now, attempt, load, gate),
-            In::Gone => {
-                gate.count("caller_gone");
-                self.close_all(now, gate, &mut out);
+            FlowEvent::Routed(decision) => self.apply_decision(now, decision, balancer, &mut out),
+            FlowEvent::Load { attempt, load } => self.on_load(now, attempt, load, balancer),
+            FlowEvent::ClientGone => {
+                balancer.count("caller_gone");
+                self.close_all(now, balancer, &mut out);
             }
-            In::Tick => self.tick(now, gate, &mut out),
-            of_attempt => self.attempt_event(now, of_attempt, gate, &mut out),
+            FlowEvent::Tick => self.tick(now, balancer, &mut out),
+            of_attempt => self.on_attempt_event(now, of_attempt, balancer, &mut out),
         }
         out
     }
 
-    fn is_stray(&self, ev: &In) -> bool {
-        ev.attempt().is_some_and(|attempt| self.attempts.iter().all(|l| l.no != attempt))
+    /// Whether the event belongs to an attempt that is closed.
+    fn is_stray(&self, ev: &FlowEvent) -> bool {
+        ev.attempt().is_some_and(|attempt| self.attempts.iter().all(|run| run.no != attempt))
     }
 
-    fn carry(&mut self, now: Time, plan: Plan, gate: &mut Gate, out: &mut Vec<Out>) {
-        match plan {
-            Plan::Send(runner) => {
-                if !self.counted {
-                    self.counted = true;
-                    gate.tries.first();
+    fn apply_decision(
+        &mut self,
+        now: Time,
+        decision: RoutingDecision,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
+    ) {
+        match decision {
+            RoutingDecision::Send(runner) => {
+                if !self.is_counted {
+                    self.is_counted = true;
+                    balancer.retry_budget.record_first_send();
                 }
                 self.open_main(now, runner, out);
             }
-            Plan::Wait(_) => self.wait(out),
-            Plan::Refuse(r) => self.refuse(now, r, gate, out),
+            RoutingDecision::Wait(_) => self.wait_for_runner(out),
+            RoutingDecision::Refuse(r) => self.refuse(now, r, balancer, out),
         }
     }
 
     /// Whether it waits for a runner.
     pub fn is_waiting(&self) -> bool {
-        self.waiting
+        self.is_waiting
     }
 
-    /// From now on the request waits for a runner.
-    pub fn wait(&mut self, out: &mut Vec<Out>) {
-        self.waiting = true;
-        out.push(Out::Wait { avoid: self.avoid.clone() });
+    /// Queues the request.
+    pub fn wait_for_runner(&mut self, out: &mut Vec<FlowAction>) {
+        self.is_waiting = true;
+        out.push(FlowAction::Wait { avoid: self.avoid.clone() });
     }
 
-    /// A plan that came when the request no longer waited: its slot is free again.
-    fn decline(&self, now: Time, plan: &Plan, gate: &mut Gate) {
-        if let Plan::Send(runner) = plan {
-            gate.count("plan_untaken");
-            gate.release(now, &runner.instance, &self.order.model, None);
+    /// Frees the slot of a decision that came after the request stopped waiting.
+    fn return_unused_slot(&self, now: Time, decision: &RoutingDecision, balancer: &mut Balancer) {
+        if let RoutingDecision::Send(runner) = decision {
+            balancer.count("plan_untaken");
+            balancer.release_slot(now, &runner.instance, &self.spec.model, None);
         }
     }
 
-    pub fn refuse(&mut self, now: Time, r: Refusal, gate: &mut Gate, out: &mut Vec<Out>) {
-        self.close_all(now, gate, out);
-        if self.began {
-            gate.count("broken");
-            out.push(Out::Told("stream-broken", self.standing(&r, gate)));
-            out.push(Out::Break("no runner could go on with the stream"));
-        } else if self.sent {
-            gate.count("unknown");
-            out.push(Out::Unknown(
+    /// Ends the request without a complete answer: broken off, outcome unknown or refused, by what has happened so far.
+    pub fn refuse(&mut self, now: Time, r: Refusal, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
+        self.close_all(now, balancer, out);
+        if self.is_answer_started {
+            balancer.count("broken");
+            out.push(FlowAction::Log("stream-broken", self.failure_summary(&r, balancer)));
+            out.push(FlowAction::Abort("no runner could go on with the stream"));
+        } else if self.may_have_run {
+            balancer.count("unknown");
+            out.push(FlowAction::OutcomeUnknown(
                 502,
                 "the runner was lost after it may have begun; its outcome is not known",
             ));
         } else {
-            gate.count("refused");
-            out.push(Out::Refuse(r));
+            balancer.count("refused");
+            out.push(FlowAction::Refuse(r));
         }
     }
 
-    pub fn open(&mut self, now: Time, runner: Runner, last: Option<String>, out: &mut Vec<Out>) -> AttemptNo {
-        let no = self.next;
-        self.next += 1;
-        self.heard = now;
+    /// Opens an attempt at a runner.
+    pub fn open(
+        &mut self,
+        now: Time,
+        runner: Runner,
+        last: Option<String>,
+        out: &mut Vec<FlowAction>,
+    ) -> AttemptNo {
+        let no = self.next_attempt;
+        self.next_attempt += 1;
+        self.heard_at = now;
         self.attempts.push(RunnerAttempt::new(no, runner.clone(), now));
-        out.push(Out::Open { attempt: no, runner, last });
+        out.push(FlowAction::Open { attempt: no, runner, last_event_id: last });
         no
     }
 
+    /// Closes an attempt; `good` is its result for the health of the runner, if it says anything.
     pub fn close(
         &mut self,
         now: Time,
         attempt: AttemptNo,
         good: Option<bool>,
-        gate: &mut Gate,
-        out: &mut Vec<Out>,
+        balancer: &mut Balancer,
+        out: &mut Vec<FlowAction>,
     ) {
-        let Some(at) = self.attempts.iter().position(|l| l.no == attempt) else { return };
-        let l = self.attempts.remove(at);
-        out.push(Out::Close { attempt });
-        gate.release(now, &l.runner.instance, &self.order.model, good);
+        let Some(at) = self.attempts.iter().position(|run| run.no == attempt) else { return };
+        let run = self.attempts.remove(at);
+        out.push(FlowAction::Close { attempt });
+        balancer.release_slot(now, &run.runner.instance, &self.spec.model, good);
     }
 
-    pub fn close_all(&mut self, now: Time, gate: &mut Gate, out: &mut Vec<Out>) {
-        self.over = true;
-        self.waiting = false;
-        gate.inbox.drop_id(self.order.id);
-        self.hand = None;
+    /// Ends the request: closes all attempts and returns what it holds at the balancer.
+    pub fn close_all(&mut self, now: Time, balancer: &mut Balancer, out: &mut Vec<FlowAction>) {
+        self.is_over = true;
+        self.is_waiting = false;
+        balancer.queue.remove_request(self.spec.id);
+        self.handover = None;
         self.standby = None;
-        gate.tries.give_back(std::mem::take(&mut self.reserved));
-        let all: Vec<AttemptNo> = self.attempts.iter().map(|l| l.no).collect();
+        balancer.retry_budget.return_reserved(std::mem::take(&mut self.reserved_attempts));
+        let all: Vec<AttemptNo> = self.attempts.iter().map(|run| run.no).collect();
         for attempt in all {
-            self.close(now, attempt, None, gate, out);
+            self.close(now, attempt, None, balancer, out);
         }
     }
 }
--- a/src/gate/health.rs
+++ b/src/gate/health.rs
@@ -1,89 +1,112 @@
+//! What a router knows of one runner: reports, requests in progress and recent failures.
+
 use crate::fleet::holdings::RunnerHoldings;
 use crate::fleet::runner::RunnerReport;
 use crate::kernel::ids::Name;
 use crate::kernel::time::{Span, Time};
 use crate::protocol::Load;
 
-pub const DARK: Span = Span::ms(2500);
-const FULL: Span = Span::ms(150);
-const OLD: Span = Span::ms(500);
-const AWAY: Span = Span::ms(700);
-const FAILS: u32 = 3;
-const OUT: Span = Span::ms(2000);
-const OUT_MOST: u32 = 4;
-
+/// Age at which a polled report no longer counts.
+pub const REPORT_LIFETIME: Span = Span::ms(2500);
+/// How long a runner that rejected a request as full gets none.
+const FULL_PAUSE: Span = Span::ms(150);
+/// A load told in an answer counts half as much after each such period.
+const LOAD_HALVING_PERIOD: Span = Span::ms(500);
+/// Shortest ejection of a runner that could not be reached or is silent.
+const UNREACHABLE_EJECTION: Span = Span::ms(700);
+/// Failures in a row that eject a runner.
+const FAILURES_TO_EJECT: u32 = 3;
+/// First ejection after failures; it doubles each time.
+const BASE_EJECTION: Span = Span::ms(2000);
+/// Most doublings counted.
+const EJECTION_STEPS_MAX: u32 = 4;
+
+/// Health and load of a runner.
 #[derive(Default, Debug)]
-pub struct Health {
+pub struct RunnerHealth {
+    /// The newest report and when it came.
     pub report: Option<(Time, RunnerReport)>,
-    pub mine: u64,
-    pub others: u64,
-    pub leaving: bool,
-    pushed: bool,
-    silent: bool,
-    fails: u32,
-    outs: u32,
-    out_until: Time,
+    /// Requests that this router has in progress there.
+    pub own_requests: u64,
+    /// Requests of others there, by the newest report.
+    pub other_requests: u64,
+    /// Whether it leaves and gets no new requests.
+    pub is_leaving: bool,
+    is_pushed: bool,
+    is_silent: bool,
+    failures_in_row: u32,
+    ejections: u32,
+    ejected_until: Time,
     full_until: Time,
-    pub slots: u64,
-    load_at: Time,
+    /// Slots told in answers; zero if none were.
+    pub reported_slots: u64,
+    load_reported_at: Time,
 }
 
-impl Health {
-    pub fn told(&mut self, now: Time, report: RunnerReport) {
-        self.leaving |= report.leaving;
-        self.others = (report.running + report.waiting).saturating_sub(self.mine);
+impl RunnerHealth {
+    /// Applies a report.
+    pub fn on_report(&mut self, now: Time, report: RunnerReport) {
+        self.is_leaving |= report.leaving;
+        self.other_requests = (report.running + report.waiting).saturating_sub(self.own_requests);
         self.report = Some((now, report));
     }
 
-    /// Pushed news stay valid until they are contradicted.
-    pub fn held(&mut self, now: Time, row: &RunnerHoldings) -> bool {
-        self.pushed = true;
-        self.silent = row.silent;
-        let new = row.holding.as_ref().map(|h| h.open());
+    /// Applies holdings that the placement pushed; they stay valid until contradicted. True if they hold a full report.
+    pub fn on_holdings(&mut self, now: Time, row: &RunnerHoldings) -> bool {
+        self.is_pushed = true;
+        self.is_silent = row.silent;
+        let new = row.holding.as_ref().map(|health| health.open());
         let renewed = new.is_some();
         let Some(mut report) = new.or_else(|| self.report.take().map(|r| r.1)) else { return false };
         (report.running, report.waiting, report.tokens) = (row.running, row.waiting, row.tokens);
-        self.told(now, report);
+        self.on_report(now, report);
         renewed
     }
 
-    pub fn lacks(&mut self, name: &str) {
+    /// Removes a model or adapter that the runner turned out not to hold.
+    pub fn forget_weights(&mut self, name: &str) {
         if let Some((_, r)) = &mut self.report {
             r.holds.retain(|n| n.0 != name);
         }
     }
 
+    /// Whether it holds a model or adapter and stays.
     pub fn holds(&self, now: Time, name: &Name) -> bool {
-        !self.leaving && self.fresh(now).is_some_and(|r| r.has(name))
+        !self.is_leaving && self.fresh_report(now).is_some_and(|r| r.has(name))
     }
 
-    pub fn fresh(&self, now: Time) -> Option<&RunnerReport> {
+    /// The report, if it still counts.
+    pub fn fresh_report(&self, now: Time) -> Option<&RunnerReport> {
         let (at, report) = self.report.as_ref()?;
-        (!self.silent && (self.pushed || now.since(*at) < DARK)).then_some(report)
+        (!self.is_silent && (self.is_pushed || now.since(*at) < REPORT_LIFETIME)).then_some(report)
     }
 
-    pub fn out(&self, now: Time) -> bool {
-        now < self.out_until
+    /// Whether it gets no requests for now, after failures.
+    pub fn is_ejected(&self, now: Time) -> bool {
+        now < self.ejected_until
     }
 
-    pub fn good(&mut self) {
-        self.fails = 0;
-        self.outs = 0;
+    /// Counts a success.
+    pub fn record_success(&mut self) {
+        self.failures_in_row = 0;
+        self.ejections = 0;
     }
 
-    pub fn bad(&mut self, now: Time) {
-        self.fails += 1;
-        if self.fails >= FAILS {
-            self.fails = 0;
-            self.outs = (self.outs + 1).min(OUT_MOST);
-            self.out_until = now + Span(OUT.0 << (self.outs - 1));
+    /// Counts a failure; several in a row eject the runner.
+    pub fn record_failure(&mut self, now: Time) {
+        self.failures_in_row += 1;
+        if self.failures_in_row >= FAILURES_TO_EJECT {
+            self.failures_in_row = 0;
+            self.ejections = (self.ejections + 1).min(EJECTION_STEPS_MAX);
+            self.ejected_until = now + Span(BASE_EJECTION.0 << (self.ejections - 1));
         }
     }
 
-    pub fn told_load(&mut self, now: Time, load: Load) {
-        self.others = (load.running + load.waiting).saturating_sub(self.mine);
-        self.slots = load.slots;
-        self.load_at = now;
+    /// Applies the load told in an answer.
+    pub fn on_load(&mut self, now: Time, load: Load) {
+        self.other_requests = (load.running + load.waiting).saturating_sub(self.own_requests);
+        self.reported_slots = load.slots;
+        self.load_reported_at = now;
         if let Some((at, r)) = &mut self.report {
             *at = now;
             r.running = load.running;
@@ -91,31 +114,35 @@
         }
     }
 
-    /// What runs there by the runner's own last word; an old word counts less.
-    pub fn burden(&self, now: Time) -> u64 {
-        let old = now.since(self.load_at).0 / OLD.0;
-        self.mine + (self.others >> old.min(8))
+    /// Requests there by the last load told; an old value counts less.
+    pub fn decayed_load(&self, now: Time) -> u64 {
+        let old = now.since(self.load_reported_at).0 / LOAD_HALVING_PERIOD.0;
+        self.own_requests + (self.other_requests >> old.min(8))
     }
 
-    pub fn full(&mut self, now: Time) {
-        self.full_until = now + FULL;
+    /// The runner rejected a request as full.
+    pub fn mark_full(&mut self, now: Time) {
+        self.full_until = now + FULL_PAUSE;
     }
 
+    /// Whether it recently rejected a request as full.
     pub fn is_full(&self, now: Time) -> bool {
         now < self.full_until
     }
 
-    /// It could not be reached, or is silent: nothing more is sent there for a while.
-    pub fn away(&mut self, now: Time) {
-        self.out_until = self.out_until.max(now + Span(AWAY.0 << self.outs.min(2)));
-        self.outs = (self.outs + 1).min(OUT_MOST);
-        self.fails = 0;
+    /// It could not be reached or is silent: it gets no requests for a while.
+    pub fn eject_unreachable(&mut self, now: Time) {
+        self.ejected_until =
+            self.ejected_until.max(now + Span(UNREACHABLE_EJECTION.0 << self.ejections.min(2)));
+        self.ejections = (self.ejections + 1).min(EJECTION_STEPS_MAX);
+        self.failures_in_row = 0;
     }
 
+    /// Requests there; the maximum if no report counts.
     pub fn load(&self, now: Time) -> u64 {
-        if self.fresh(now).is_none() {
+        if self.fresh_report(now).is_none() {
             return u64::MAX;
         }
-        self.others + self.mine
+        self.other_requests + self.own_requests
     }
 }
--- a/src/gate/inbox.rs
+++ b/src/gate/inbox.rs
@@ -1,64 +1,84 @@
-use super::order::{Order, Plan, Urgency};
+//! The queue of waiting requests, ordered by urgency and arrival.
+
+use super::order::{RequestSpec, RoutingDecision, Urgency};
 use std::collections::BTreeMap;
 
-/// Hands a plan to the request that waits; gives it back if that request is over. It runs under the gate's lock, on
+/// Hands a decision to the waiting request; returns it if that request is over. It runs under the lock of the balancer, on
 /// any thread, so it must neither block nor need a runtime.
-pub type Wake = Box<dyn FnOnce(Plan) -> Result<(), Plan> + Send>;
+pub type WakeFn = Box<dyn FnOnce(RoutingDecision) -> Result<(), RoutingDecision> + Send>;
 
-pub struct Waiter {
-    pub order: Order,
+/// A request in the queue.
+pub struct WaitingRequest {
+    /// The request.
+    pub spec: RequestSpec,
+    /// Runners not to use.
     pub avoid: Vec<crate::kernel::ids::Name>,
-    pub wake: Wake,
-    pub since: crate::kernel::time::Time,
+    /// Receives the decision.
+    pub wake: WakeFn,
+    /// When it was queued.
+    pub queued_at: crate::kernel::time::Time,
 }
 
+/// Waiting requests by urgency, then by arrival number.
 #[derive(Default)]
-pub struct Inbox {
-    rows: BTreeMap<(Urgency, u64), Waiter>,
-    next: u64,
+pub struct WaitQueue {
+    rows: BTreeMap<(Urgency, u64), WaitingRequest>,
+    last_number: u64,
 }
 
-impl Inbox {
+impl WaitQueue {
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
+    /// Whether none waits.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    pub fn add(&mut self, waiter: Waiter) {
-        self.next += 1;
-        self.rows.insert((waiter.order.urgency(), self.next), waiter);
+    /// Queues a request behind those of the same urgency.
+    pub fn add(&mut self, waiter: WaitingRequest) {
+        self.last_number += 1;
+        self.rows.insert((waiter.spec.urgency(), self.last_number), waiter);
     }
 
+    /// Keys in the order of service.
     pub fn keys(&self) -> Vec<(Urgency, u64)> {
         self.rows.keys().copied().collect()
     }
 
-    pub fn get(&self, key: &(Urgency, u64)) -> Option<&Waiter> {
+    /// The request with this key.
+    pub fn get(&self, key: &(Urgency, u64)) -> Option<&WaitingRequest> {
         self.rows.get(key)
     }
 
-    pub fn take(&mut self, key: &(Urgency, u64)) -> Option<Waiter> {
+    /// Removes the request with this key.
+    pub fn take(&mut self, key: &(Urgency, u64)) -> Option<WaitingRequest> {
         self.rows.remove(key)
     }
 
-    pub fn ahead(&self, order: &Order) -> u64 {
-        let alike = |w: &&Waiter| w.order.model == order.model && w.order.adapter == order.adapter;
-        let before = |w: &&Waiter| w.order.urgency() <= order.urgency() && w.order.id != order.id;
+    /// Waiting requests for the same model and adapter that are served before this one.
+    pub fn count_ahead(&self, spec: &RequestSpec) -> u64 {
+        let alike =
+            |waiter: &&WaitingRequest| waiter.spec.model == spec.model && waiter.spec.adapter == spec.adapter;
+        let before =
+            |waiter: &&WaitingRequest| waiter.spec.urgency() <= spec.urgency() && waiter.spec.id != spec.id;
         self.rows.values().filter(alike).filter(before).count() as u64
     }
 
-    pub fn rows(&self) -> impl Iterator<Item = &Waiter> {
+    /// The waiting requests in the order of service.
+    pub fn iter(&self) -> impl Iterator<Item = &WaitingRequest> {
         self.rows.values()
     }
 
-    pub fn drop_id(&mut self, id: u64) {
-        self.rows.retain(|_, w| w.order.id != id);
+    /// Removes a request by its id.
+    pub fn remove_request(&mut self, id: u64) {
+        self.rows.retain(|_, waiter| waiter.spec.id != id);
     }
 
-    pub fn last_lower(&self, than: Urgency) -> Option<(Urgency, u64)> {
+    /// Key of the last request, if it is less urgent than `than`.
+    pub fn last_less_urgent(&self, than: Urgency) -> Option<(Urgency, u64)> {
         let key = self.rows.keys().next_back().copied()?;
         (key.0 > than).then_some(key)
     }
--- a/src/gate/table.rs
+++ b/src/gate/table.rs
@@ -1,5 +1,7 @@
-use super::core::Gate;
-use super::held::Asker;
+//! All balancers of a router, with the routes, limits and quota shares that they have in common.
+
+use super::core::Balancer;
+use super::held::LoadRequester;
 use crate::constraints::shares::Shares;
 use crate::fleet::config::Limits;
 use crate::fleet::holdings::RunnerHoldings;
@@ -9,56 +11,59 @@
 use crate::kernel::ids::*;
 use crate::kernel::registry::Service;
 use crate::kernel::time::{Span, Time};
-use crate::msg::RouterReport;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, RwLock};
 
-pub struct Table {
+/// State of a router that its balancers share; every part has a lock of its own.
+pub struct BalancerTable {
+    /// The failure domain (zone) of this router.
     pub domain: Name,
-    pub(super) bare_plain: bool,
-    pub proof: Span,
-    gates: RwLock<BTreeMap<Name, Arc<Mutex<Gate>>>>,
+    pub(super) has_unpolled_plain_runners: bool,
+    /// How long a proof that the configuration is current stays valid.
+    pub freshness_limit: Span,
+    balancers: RwLock<BTreeMap<Name, Arc<Mutex<Balancer>>>>,
     routes: RwLock<(Version, Time, Arc<RouteTable>)>,
     pub(super) routes_leased_until: RwLock<Time>,
-    trial: Mutex<(Version, Option<Candidate>)>,
-    pub(super) marks: Mutex<BTreeSet<Name>>,
-    held: Mutex<BTreeMap<Name, RunnerHoldings>>,
-    asker: Mutex<Option<Asker>>,
+    candidate: Mutex<(Version, Option<Candidate>)>,
+    pub(super) leaving_runners: Mutex<BTreeSet<Name>>,
+    holdings: Mutex<BTreeMap<Name, RunnerHoldings>>,
+    load_requester: Mutex<Option<LoadRequester>>,
     limits: Mutex<(Version, Limits)>,
-    /// What this router holds of tenants' quotas.
+    /// The share of tenants' quotas held by this router.
     pub quota: Mutex<Shares>,
 }
 
-impl Service for Table {
+impl Service for BalancerTable {
     fn name(&self) -> &'static str {
         "table"
     }
 }
 
-impl Table {
-    pub fn new(domain: Name, proof: Span) -> Table {
-        Table {
+impl BalancerTable {
+    /// An empty table.
+    pub fn new(domain: Name, proof: Span) -> BalancerTable {
+        BalancerTable {
             domain,
-            bare_plain: false,
-            proof,
-            gates: RwLock::default(),
+            has_unpolled_plain_runners: false,
+            freshness_limit: proof,
+            balancers: RwLock::default(),
             routes: RwLock::new((Version(0), Time(0), Arc::default())),
             routes_leased_until: RwLock::default(),
-            trial: Mutex::new((Version(0), None)),
-            marks: Mutex::default(),
-            held: Mutex::default(),
-            asker: Mutex::default(),
+            candidate: Mutex::new((Version(0), None)),
+            leaving_runners: Mutex::default(),
+            holdings: Mutex::default(),
+            load_requester: Mutex::default(),
             limits: Mutex::new((Version(0), Limits::default())),
             quota: Mutex::default(),
         }
     }
 
-    /// A table of gates whose plain services have runners that don't report.
-    pub fn bare(domain: Name, proof: Span) -> Table {
-        Table { bare_plain: true, ..Table::new(domain, proof) }
+    /// A table whose plain services have runners that send no reports.
+    pub fn with_unpolled_plain_runners(domain: Name, proof: Span) -> BalancerTable {
+        BalancerTable { has_unpolled_plain_runners: true, ..BalancerTable::new(domain, proof) }
     }
 
-    /// The limits on clients in the newest configuration known here.
+    /// Limits on clients in the newest configuration known here.
     pub fn limits(&self) -> Limits {
         self.limits.lock().unwrap().1.clone()
     }
@@ -70,93 +75,108 @@
         }
     }
 
-    pub fn gates(&self) -> Vec<Arc<Mutex<Gate>>> {
-        self.gates.read().unwrap().values().cloned().collect()
+    /// All balancers.
+    pub fn balancers(&self) -> Vec<Arc<Mutex<Balancer>>> {
+        self.balancers.read().unwrap().values().cloned().collect()
     }
 
-    pub fn gate(&self, name: &Name) -> Option<Arc<Mutex<Gate>>> {
-        self.gates.read().unwrap().get(name).cloned()
+    /// The balancer of a service.
+    pub fn get(&self, name: &Name) -> Option<Arc<Mutex<Balancer>>> {
+        self.balancers.read().unwrap().get(name).cloned()
     }
 
-    fn gate_or_new(&self, name: &Name) -> Arc<Mutex<Gate>> {
-        if let Some(g) = self.gate(name) {
-            return g;
+    fn balancer_or_new(&self, name: &Name) -> Arc<Mutex<Balancer>> {
+        if let Some(balancer) = self.get(name) {
+            return balancer;
         }
-        let mut gates = self.gates.write().unwrap();
+        let mut balancers = self.balancers.write().unwrap();
         let new = || {
-            let mut g = Gate::new(name.clone(), self.domain.clone());
-            g.asker = self.asker.lock().unwrap().clone();
-            g.bare_plain = self.bare_plain;
-            g.proof = self.proof;
-            Arc::new(Mutex::new(g))
+            let mut balancer = Balancer::new(name.clone(), self.domain.clone());
+            balancer.load_requester = self.load_requester.lock().unwrap().clone();
+            balancer.has_unpolled_plain_runners = self.has_unpolled_plain_runners;
+            balancer.freshness_limit = self.freshness_limit;
+            Arc::new(Mutex::new(balancer))
         };
-        gates.entry(name.clone()).or_insert_with(new).clone()
+        balancers.entry(name.clone()).or_insert_with(new).clone()
     }
 
-    /// Whom gates tell of what no runner holds.
-    pub fn on_want(&self, asker: Asker) {
-        for g in self.gates() {
-            g.lock().unwrap().asker = Some(asker.clone());
+    /// Sets who is told of weights that no runner holds.
+    pub fn set_load_requester(&self, asker: LoadRequester) {
+        for balancer in self.balancers() {
+            balancer.lock().unwrap().load_requester = Some(asker.clone());
         }
-        *self.asker.lock().unwrap() = Some(asker);
+        *self.load_requester.lock().unwrap() = Some(asker);
     }
 
-    pub fn held(&self, now: Time, rows: &[RunnerHoldings]) {
-        let mut held = self.held.lock().unwrap();
+    /// Applies what the placement tells of runners, then retries waiting requests.
+    pub fn on_holdings(&self, now: Time, rows: &[RunnerHoldings]) {
+        let mut held = self.holdings.lock().unwrap();
         for row in rows {
             let old = held.remove(&row.runner).and_then(|o| o.holding);
             let holding = row.holding.clone().or(old);
             held.insert(row.runner.clone(), RunnerHoldings { holding, ..row.clone() });
         }
         drop(held);
-        for g in self.gates() {
-            let mut g = g.lock().unwrap();
+        for balancer in self.balancers() {
+            let mut balancer = balancer.lock().unwrap();
             let mut any = false;
             for row in rows {
-                any |= g.held(now, row);
+                any |= balancer.on_holdings(now, row);
             }
             if any {
-                g.wake(now);
+                balancer.route_waiting(now);
             }
         }
     }
 
-    /// Marked runners count as leaving before waiting orders are planned by a new slice.
-    fn apply_marks(&self, g: &mut Gate, slice: &ServiceSlice) {
-        let marks = self.marks.lock().unwrap();
+    /// Marks runners as leaving before waiting requests are routed by a new slice.
+    fn mark_leaving_runners(&self, balancer: &mut Balancer, slice: &ServiceSlice) {
+        let marks = self.leaving_runners.lock().unwrap();
         for runner in slice.runners.iter().filter(|runner| marks.contains(&runner.instance)) {
-            g.health.entry(runner.instance.clone()).or_default().leaving = true;
+            balancer.health.entry(runner.instance.clone()).or_default().is_leaving = true;
         }
     }
 
-    fn known(&self, g: &mut Gate, now: Time) {
-        let held = self.held.lock().unwrap();
-        let bare: Vec<Name> = g.health.iter().filter(|h| h.1.report.is_none()).map(|h| h.0.clone()).collect();
+    /// Applies stored holdings to runners that are new in this balancer.
+    fn apply_known_holdings(&self, balancer: &mut Balancer, now: Time) {
+        let held = self.holdings.lock().unwrap();
+        let bare: Vec<Name> = balancer
+            .health
+            .iter()
+            .filter(|health| health.1.report.is_none())
+            .map(|health| health.0.clone())
+            .collect();
         for row in bare.iter().filter_map(|n| held.get(n)) {
-            g.held(now, row);
+            balancer.on_holdings(now, row);
         }
     }
 
+    /// The routes with their version, if they are known to be current.
     pub fn fresh_routes(&self, now: Time) -> Option<(Version, Arc<RouteTable>)> {
         let row = self.routes.read().unwrap();
-        let fresh = now.since(row.1) < self.proof || now < *self.routes_leased_until.read().unwrap();
+        let fresh =
+            now.since(row.1) < self.freshness_limit || now < *self.routes_leased_until.read().unwrap();
         fresh.then(|| (row.0, row.2.clone()))
     }
 
-    pub fn find(&self, now: Time, host: &str, path: &str) -> Option<(Version, Option<RouteRow>)> {
+    /// The route of a request; nothing if the routes are not known to be current.
+    pub fn find_route(&self, now: Time, host: &str, path: &str) -> Option<(Version, Option<RouteRow>)> {
         let (at, rows) = self.fresh_routes(now)?;
         Some((at, rows.find(host, path).cloned()))
     }
 
-    pub fn trial(&self) -> (Version, Option<Candidate>) {
-        self.trial.lock().unwrap().clone()
+    /// The candidate configuration that is rehearsed, with the version of its topic.
+    pub fn candidate(&self) -> (Version, Option<Candidate>) {
+        self.candidate.lock().unwrap().clone()
     }
 
+    /// Version of the newest routes.
     pub fn routes_version(&self) -> Version {
         self.routes.read().unwrap().0
     }
 
-    pub fn learn(&self, now: Time, scope: &Scope, at: Version, slice: Option<Slice>, proven: Time) {
+    /// Applies an update of a topic; without a slice it only renews the proof.
+    pub fn apply_slice(&self, now: Time, scope: &Scope, at: Version, slice: Option<Slice>, proven: Time) {
         match scope {
             Scope::Routes => {
                 let mut row = self.routes.write().unwrap();
@@ -169,65 +189,54 @@
                 }
                 let (proven, rows) = (row.1, (row.0, row.2.clone()));
                 drop(row);
-                for g in self.gates() {
-                    let mut g = g.lock().unwrap();
-                    g.routes_proven = proven;
-                    if g.routes.0 != rows.0 {
-                        g.routes = rows.clone();
-                        g.wake(now);
+                for balancer in self.balancers() {
+                    let mut balancer = balancer.lock().unwrap();
+                    balancer.routes_proven_at = proven;
+                    if balancer.routes.0 != rows.0 {
+                        balancer.routes = rows.clone();
+                        balancer.route_waiting(now);
                     }
                 }
             }
             Scope::Candidate => {
-                let mut row = self.trial.lock().unwrap();
+                let mut row = self.candidate.lock().unwrap();
                 if let (true, Some(Slice::Candidate(t))) = (at >= row.0, slice) {
                     *row = (at, t);
                 }
             }
             Scope::Service(name) => {
-                let gate = self.gate_or_new(name);
+                let balancer = self.balancer_or_new(name);
                 let (routes, rows) = {
                     let r = self.routes.read().unwrap();
                     (r.1, (r.0, r.2.clone()))
                 };
-                let mut g = gate.lock().unwrap();
-                if at < g.at {
+                let mut balancer = balancer.lock().unwrap();
+                if at < balancer.slice_version {
                     return;
                 }
-                let stale = !g.is_fresh(now);
-                g.proven = g.proven.max(proven);
-                g.routes_proven = g.routes_proven.max(routes);
-                g.routes_leased_until = *self.routes_leased_until.read().unwrap();
-                g.routes = rows;
+                let stale = !balancer.is_fresh(now);
+                balancer.proven_at = balancer.proven_at.max(proven);
+                balancer.routes_proven_at = balancer.routes_proven_at.max(routes);
+                balancer.routes_leased_until = *self.routes_leased_until.read().unwrap();
+                balancer.routes = rows;
                 match slice {
-                    Some(Slice::Service(s)) => {
-                        self.learn_limits(&s);
-                        self.apply_marks(&mut g, &s);
-                        g.learn(at, *s, now);
-                        self.known(&mut g, now);
-                        g.wake(now);
+                    Some(Slice::Service(slice)) => {
+                        self.learn_limits(&slice);
+                        self.mark_leaving_runners(&mut balancer, &slice);
+                        balancer.apply_slice(at, *slice, now);
+                        self.apply_known_holdings(&mut balancer, now);
+                        balancer.route_waiting(now);
                     }
                     Some(Slice::Gone) => {
-                        g.gone = true;
-                        g.at = at;
-                        g.wake(now);
+                        balancer.is_withdrawn = true;
+                        balancer.slice_version = at;
+                        balancer.route_waiting(now);
                     }
-                    _ if stale => g.wake(now),
+                    _ if stale => balancer.route_waiting(now),
                     _ => {}
                 }
             }
             Scope::Duty => {}
         }
     }
-
-    pub fn tell(&self, now: Time) -> RouterReport {
-        let mut out = RouterReport { routes_version: self.routes_version(), ..RouterReport::default() };
-        for g in self.gates() {
-            g.lock().unwrap().tell(now, &mut out);
-        }
-        if let (_, Some(t)) = self.trial() {
-            out.candidate_seen = t.id;
-        }
-        out
-    }
 }
--- a/src/http/answer.rs
+++ b/src/http/answer.rs
@@ -46,9 +46,10 @@
 
 /// The answer to a request that the balancer refused, with `Retry-After` in the form of the client's protocol.
 pub fn refusal_answer(side: &dyn CallerProtocol, r: &Refusal) -> Response<AnswerBody> {
-    let mut out = coded_answer(r.status(), r.code(), r.text(), r.wait.0.div_ceil(1_000_000), "refused");
+    let mut out =
+        coded_answer(r.status(), r.code(), r.text(), r.retry_after.0.div_ceil(1_000_000), "refused");
     if out.headers().contains_key("retry-after")
-        && let Ok(v) = side.retry_after(r.wait).parse()
+        && let Ok(v) = side.retry_after(r.retry_after).parse()
     {
         out.headers_mut().insert("retry-after", v);
     }
--- a/src/http/attempt.rs
+++ b/src/http/attempt.rs
@@ -7,9 +7,9 @@
 use super::pool::Pool;
 use crate::fleet::config::RouteKind;
 use crate::fleet::runner::Runner;
-use crate::forwarding::In;
+use crate::forwarding::FlowEvent;
 use crate::forwarding::request::AttemptNo;
-use crate::gate::order::{Order, Why};
+use crate::gate::order::{RefusalReason, RequestSpec};
 use crate::kernel::time::Clock;
 use crate::protocol::RunnerProtocol;
 use bytes::Bytes;
@@ -72,7 +72,7 @@
 /// What an attempt reports to the forwarding that started it.
 pub enum AttemptEvent {
     /// An input for the forwarding's state machine.
-    Step(In),
+    Step(FlowEvent),
     /// The head of the answer, sent before the matching `In::Head`.
     Head(AttemptHead),
 }
@@ -87,7 +87,7 @@
     let headers = outgoing.headers_mut();
     headers.remove("content-length");
     headers.remove("expect");
-    let left = job.order.end.since(job.clock.now());
+    let left = job.order.answer_deadline.since(job.clock.now());
     job.side.add_request_headers(headers, runner, &job.order, job.last_event_id.as_deref(), left);
     if let (false, Ok(host)) = (headers.contains_key("host"), HeaderValue::from_str(&runner.addr.to_string()))
     {
@@ -105,7 +105,7 @@
     /// The id of the last event that the client has, if a stream is to be resumed after it.
     pub last_event_id: Option<String>,
     /// The parameters of the request.
-    pub order: Order,
+    pub order: RequestSpec,
     /// The protocol that the runner speaks.
     pub side: Arc<dyn RunnerProtocol>,
     /// The clock that deadlines are read from.
@@ -117,7 +117,7 @@
     /// Whether the request may still be sent; asked right before its first byte is written.
     pub check: Check,
     /// Why the check refuses the request, evaluated anew.
-    pub refusal_cause: Box<dyn Fn() -> Option<Why> + Send + Sync>,
+    pub refusal_cause: Box<dyn Fn() -> Option<RefusalReason> + Send + Sync>,
     /// Where the steps are reported.
     pub events: mpsc::Sender<AttemptEvent>,
 }
@@ -140,73 +140,78 @@
 /// Runs one attempt to its end and reports each step to the forwarding that started it.
 pub async fn run(job: Attempt) {
     let attempt = job.number;
-    let report = |ev: In| job.events.send(AttemptEvent::Step(ev));
+    let report = |ev: FlowEvent| job.events.send(AttemptEvent::Step(ev));
     let (exchange, sent) = match send(&job).await {
         Ok(done) => done,
-        Err(SendError::NotSent) => return drop(report(In::OpenFailed { attempt, why: None }).await),
+        Err(SendError::NotSent) => {
+            return drop(report(FlowEvent::OpenFailed { attempt, reason: None }).await);
+        }
         Err(SendError::RefusedByCheck) => {
-            let why = (job.refusal_cause)().or(Some(Why::Stale));
-            return drop(report(In::OpenFailed { attempt, why }).await);
+            let why = (job.refusal_cause)().or(Some(RefusalReason::StaleConfiguration));
+            return drop(report(FlowEvent::OpenFailed { attempt, reason: why }).await);
         }
-        Err(SendError::MaybeSent) => return drop(report(In::Lost { attempt }).await),
+        Err(SendError::MaybeSent) => return drop(report(FlowEvent::Lost { attempt }).await),
     };
     let load = job.side.load(exchange.headers());
     let judged = exchange.judge(|status, headers| job.side.classify_response(&sent, status, headers));
     if let (Some(load), false) = (load, matches!(judged, Classified::Stray)) {
-        let _ = report(In::Load { attempt, load }).await;
+        let _ = report(FlowEvent::Load { attempt, load }).await;
     }
     match judged {
         Classified::Own(answer) => relay_answer(&job, answer).await,
         Classified::NotExecuted(answer) => report_refusal(&job, answer, false).await,
         Classified::Misdirected(answer) => report_refusal(&job, answer, true).await,
-        Classified::Stray => drop(report(In::Lost { attempt }).await),
+        Classified::Stray => drop(report(FlowEvent::Lost { attempt }).await),
     }
 }
 
 /// Reports that the runner did not execute the request; `gone` if a different instance answered at its address.
 async fn report_refusal(job: &Attempt, answer: RunnerAnswer, gone: bool) {
     job.pool.drain(job.runner.addr, answer).await;
-    let _ = job.events.send(AttemptEvent::Step(In::Shed { attempt: job.number, gone })).await;
+    let _ = job
+        .events
+        .send(AttemptEvent::Step(FlowEvent::Rejected { attempt: job.number, lacks_weights: gone }))
+        .await;
 }
 
 /// Passes the runner's answer on. The answer to an idempotent request is buffered first, unless it is an event stream,
 /// so that another runner can still answer if this one fails half way.
 async fn relay_answer(job: &Attempt, mut answer: RunnerAnswer) {
     let attempt = job.number;
-    let report = |ev: In| job.events.send(AttemptEvent::Step(ev));
+    let report = |ev: FlowEvent| job.events.send(AttemptEvent::Step(ev));
     let status = answer.status();
     let headers = end_to_end(answer.headers());
     let kind = headers.get("content-type").and_then(|v| v.to_str().ok()).unwrap_or("");
     let stream = kind.starts_with("text/event-stream");
     let end = answer.end();
     let mut whole = None;
-    if job.order.kind == RouteKind::Idempotent && !stream {
+    if job.order.route_kind == RouteKind::Idempotent && !stream {
         match answer.collect(MAX_BUFFERED_ANSWER_BYTES).await {
             Ok(body) => whole = Some(body),
-            Err(BodyBroken) => return drop(report(In::Lost { attempt }).await),
+            Err(BodyBroken) => return drop(report(FlowEvent::Lost { attempt }).await),
         }
     }
     if job.events.send(AttemptEvent::Head((attempt, status, headers))).await.is_err()
-        || report(In::Head { attempt, status, stream }).await.is_err()
+        || report(FlowEvent::Head { attempt, status, is_stream: stream }).await.is_err()
     {
         return;
     }
     if let Some(raw) = whole {
         job.pool.keep_connection_of(job.runner.addr, answer);
-        let _ = report(In::Chunk { attempt, raw }).await;
-        return drop(report(In::End { attempt, end }).await);
+        let _ = report(FlowEvent::Chunk { attempt, raw }).await;
+        return drop(report(FlowEvent::End { attempt, end }).await);
     }
     loop {
         match answer.next().await {
             Ok(Some(raw)) => {
-                if report(In::Chunk { attempt, raw }).await.is_err() {
+                if report(FlowEvent::Chunk { attempt, raw }).await.is_err() {
                     return;
                 }
             }
             Ok(None) => break,
-            Err(BodyBroken) => return drop(report(In::Lost { attempt }).await),
+            Err(BodyBroken) => return drop(report(FlowEvent::Lost { attempt }).await),
         }
     }
     job.pool.keep_connection_of(job.runner.addr, answer);
-    let _ = report(In::End { attempt, end }).await;
+    let _ = report(FlowEvent::End { attempt, end }).await;
 }
--- a/src/http/forward.rs
+++ b/src/http/forward.rs
@@ -5,8 +5,8 @@
 use super::body::BodyWriter;
 use super::pool::Pool;
 use crate::forwarding::request::AttemptNo;
-use crate::forwarding::{In, RequestFlow};
-use crate::gate::{Gate, Order, Plan};
+use crate::forwarding::{FlowEvent, RequestFlow};
+use crate::gate::{Balancer, RequestSpec, RoutingDecision};
 use crate::kernel::time::Clock;
 use crate::protocol::{CallerProtocol, Protocols, RunnerProtocol};
 use effects::EffectOutcome;
@@ -25,7 +25,7 @@
 /// One request being forwarded. Dropping it cancels the request.
 pub struct Forwarder {
     /// The balancer of the request's service.
-    pub gate: Arc<Mutex<Gate>>,
+    pub balancer: Arc<Mutex<Balancer>>,
     /// The connections to runners.
     pub pool: Arc<Pool>,
     /// The clock that deadlines are read from.
@@ -43,7 +43,7 @@
     /// Status and headers of answers that the state machine has not chosen yet.
     headers: BTreeMap<AttemptNo, (u16, HeaderMap)>,
     event_tx: mpsc::Sender<AttemptEvent>,
-    wake_tx: mpsc::UnboundedSender<Plan>,
+    wake_tx: mpsc::UnboundedSender<RoutingDecision>,
     response_tx: Option<oneshot::Sender<Response<AnswerBody>>>,
     body: Option<BodyWriter>,
 }
@@ -51,7 +51,7 @@
 /// A request to be forwarded.
 pub struct ForwardJob {
     /// The parameters of the request.
-    pub order: Order,
+    pub order: RequestSpec,
     /// The request as each attempt sends it.
     pub forwarded: Arc<ForwardedRequest>,
     /// The protocols of the client and of the runners.
@@ -61,7 +61,7 @@
 /// Forwards a request until its answer is complete or broken off, or the client is gone. The head of the answer, or a
 /// refusal, goes to `response_tx`.
 pub async fn forward(
-    gate: Arc<Mutex<Gate>>,
+    balancer: Arc<Mutex<Balancer>>,
     pool: Arc<Pool>,
     clock: Arc<dyn Clock>,
     job: ForwardJob,
@@ -70,7 +70,7 @@
     let (event_tx, mut event_rx) = mpsc::channel(16);
     let (wake_tx, mut wake_rx) = mpsc::unbounded_channel();
     let mut forwarder = Forwarder {
-        gate,
+        balancer,
         pool,
         clock,
         forwarded: job.forwarded,
@@ -86,10 +86,10 @@
     };
     let mut tick = tokio::time::interval(TICK_PERIOD);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    forwarder.step(In::Go).await;
-    while !forwarder.request.over {
+    forwarder.step(FlowEvent::Start).await;
+    while !forwarder.request.is_over {
         let event = tokio::select! {
-            Some(plan) = wake_rx.recv() => In::Woken(plan),
+            Some(plan) = wake_rx.recv() => FlowEvent::Routed(plan),
             Some(event) = event_rx.recv() => match event {
                 AttemptEvent::Step(event) => event,
                 AttemptEvent::Head((attempt, status, headers)) => {
@@ -97,14 +97,14 @@
                     continue;
                 }
             },
-            _ = client_gone(&mut forwarder.response_tx, &forwarder.body) => In::Gone,
-            _ = tick.tick() => In::Tick,
+            _ = client_gone(&mut forwarder.response_tx, &forwarder.body) => FlowEvent::ClientGone,
+            _ = tick.tick() => FlowEvent::Tick,
         };
         forwarder.step(event).await;
     }
     wake_rx.close();
     while let Ok(plan) = wake_rx.try_recv() {
-        forwarder.step(In::Woken(plan)).await;
+        forwarder.step(FlowEvent::Routed(plan)).await;
     }
 }
 
@@ -122,9 +122,9 @@
 
 impl Forwarder {
     /// Feeds the state machine with one event and carries out the effects in order.
-    async fn step(&mut self, event: In) {
+    async fn step(&mut self, event: FlowEvent) {
         let now = self.clock.now();
-        let effects = self.request.step(now, event, &mut self.gate.lock().unwrap());
+        let effects = self.request.step(now, event, &mut self.balancer.lock().unwrap());
         for effect in effects {
             if self.carry_out(effect).await == EffectOutcome::ClientGone {
                 return self.abandon();
@@ -137,7 +137,7 @@
     fn abandon(&mut self) {
         self.body = None;
         let now = self.clock.now();
-        self.request.step(now, In::Gone, &mut self.gate.lock().unwrap());
+        self.request.step(now, FlowEvent::ClientGone, &mut self.balancer.lock().unwrap());
         for attempt in std::mem::take(&mut self.attempts).into_values() {
             attempt.abort();
         }
@@ -147,10 +147,10 @@
 impl Drop for Forwarder {
     /// Releases what an unfinished request holds: its place in the balancer's queue, its slots and its attempts.
     fn drop(&mut self) {
-        if !self.request.over
-            && let Ok(mut gate) = self.gate.lock()
+        if !self.request.is_over
+            && let Ok(mut balancer) = self.balancer.lock()
         {
-            self.request.step(self.clock.now(), In::Gone, &mut gate);
+            self.request.step(self.clock.now(), FlowEvent::ClientGone, &mut balancer);
         }
         for task in self.attempts.values() {
             task.abort();
--- a/src/http/forward/effects.rs
+++ b/src/http/forward/effects.rs
@@ -1,9 +1,9 @@
 //! Carries out the effects of the forwarding state machine.
 
 use super::Forwarder;
-use crate::forwarding::Out;
+use crate::forwarding::FlowAction;
 use crate::forwarding::request::AttemptNo;
-use crate::gate::Plan;
+use crate::gate::RoutingDecision;
 use crate::http::answer::{AnswerBody, coded_answer, refusal_answer};
 use crate::http::attempt::{self, Attempt};
 use crate::http::body::streamed;
@@ -27,37 +27,37 @@
 
 impl Forwarder {
     /// Carries out one effect.
-    pub(super) async fn carry_out(&mut self, effect: Out) -> EffectOutcome {
+    pub(super) async fn carry_out(&mut self, effect: FlowAction) -> EffectOutcome {
         match effect {
-            Out::Wait { avoid } => {
+            FlowAction::Wait { avoid } => {
                 let wake_tx = self.wake_tx.clone();
-                let wake = Box::new(move |plan: Plan| wake_tx.send(plan).map_err(|back| back.0));
+                let wake = Box::new(move |plan: RoutingDecision| wake_tx.send(plan).map_err(|back| back.0));
                 let now = self.clock.now();
-                self.gate.lock().unwrap().wait(now, self.request.order.clone(), avoid, wake);
+                self.balancer.lock().unwrap().wait(now, self.request.spec.clone(), avoid, wake);
             }
-            Out::Open { attempt, runner, last } => self.open(attempt, runner, last),
-            Out::Close { attempt } => {
+            FlowAction::Open { attempt, runner, last_event_id: last } => self.open(attempt, runner, last),
+            FlowAction::Close { attempt } => {
                 if let Some(task) = self.attempts.remove(&attempt) {
                     task.abort();
                 }
             }
-            Out::Head { attempt } => self.head(attempt),
-            Out::Pass(raw) => return self.pass(raw).await,
-            Out::Finish => {
+            FlowAction::Head { attempt } => self.head(attempt),
+            FlowAction::Forward(raw) => return self.pass(raw).await,
+            FlowAction::Finish => {
                 if let Some(body) = self.body.take() {
                     body.finish();
                 }
             }
-            Out::Break(why) => {
-                log::info!(event = "answer-broken-off", service = self.request.order.service.to_string(), why = why; "");
+            FlowAction::Abort(why) => {
+                log::info!(event = "answer-broken-off", service = self.request.spec.service.to_string(), why = why; "");
                 self.body = None;
             }
-            Out::Refuse(r) => self.answer(refusal_answer(&*self.caller, &r)),
-            Out::Unknown(status, text) => {
+            FlowAction::Refuse(r) => self.answer(refusal_answer(&*self.caller, &r)),
+            FlowAction::OutcomeUnknown(status, text) => {
                 self.answer(coded_answer(status, "outcome-unknown", text, 0, "unknown"));
             }
-            Out::Told(what, text) => {
-                log::info!(event = what, service = self.request.order.service.to_string(), note = text; "");
+            FlowAction::Log(what, text) => {
+                log::info!(event = what, service = self.request.spec.service.to_string(), note = text; "");
             }
         }
         EffectOutcome::Done
@@ -71,16 +71,16 @@
         last_event_id: Option<String>,
     ) {
         let check = {
-            let (gate, clock) = (self.gate.clone(), self.clock.clone());
-            let (order, name) = (self.request.order.clone(), runner.instance.clone());
-            move || gate.lock().unwrap().check(clock.now(), &order, &name).err()
+            let (balancer, clock) = (self.balancer.clone(), self.clock.clone());
+            let (order, name) = (self.request.spec.clone(), runner.instance.clone());
+            move || balancer.lock().unwrap().check_before_send(clock.now(), &order, &name).err()
         };
         let cause = check.clone();
         let job = Attempt {
             number,
             runner,
             last_event_id,
-            order: self.request.order.clone(),
+            order: self.request.spec.clone(),
             side: self.side.clone(),
             clock: self.clock.clone(),
             request: self.forwarded.clone(),
@@ -106,7 +106,7 @@
         let mut response = Response::new(body.boxed_unsync());
         *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
         *response.headers_mut() = headers;
-        if self.request.stream {
+        if self.request.is_stream {
             response.headers_mut().remove("content-length");
         }
         self.body = Some(writer);
@@ -118,8 +118,8 @@
         let Some(body) = &self.body else { return EffectOutcome::Done };
         let left = self
             .request
-            .order
-            .whole_by
+            .spec
+            .completion_deadline
             .map_or(CLIENT_STALL_TIMEOUT, |by| by.since(self.clock.now()).as_std());
         match tokio::time::timeout(CLIENT_STALL_TIMEOUT.min(left), body.send(bytes)).await {
             Ok(Ok(())) => EffectOutcome::Done,
--- a/src/http/native.rs
+++ b/src/http/native.rs
@@ -4,7 +4,7 @@
 use crate::fleet::config::Route;
 use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::tenants::KeyDigest;
-use crate::gate::order::Order;
+use crate::gate::order::RequestSpec;
 use crate::json::Tree;
 use crate::json::tree::map;
 use crate::kernel::time::Span;
@@ -88,7 +88,7 @@
         &self,
         headers: &mut HeaderMap,
         runner: &Runner,
-        order: &Order,
+        order: &RequestSpec,
         last: Option<&str>,
         _left: Span,
     ) {
--- a/src/http/recent_requests.rs
+++ b/src/http/recent_requests.rs
@@ -1,7 +1,7 @@
 //! The latest requests that a router admitted. A candidate configuration is rehearsed against them, and the routes in
 //! use are reported from them (see [`crate::gate::rehearse`]).
 
-use crate::gate::Order;
+use crate::gate::RequestSpec;
 use crate::kernel::ids::Name;
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -34,7 +34,7 @@
 
 impl RecentRequests {
     /// Adds a request with a body of `body_bytes`; the oldest one is dropped if there are too many.
-    pub fn add(&self, order: &Order, host: &str, path: &str, body_bytes: usize) {
+    pub fn add(&self, order: &RequestSpec, host: &str, path: &str, body_bytes: usize) {
         let mut rows = self.rows.lock().unwrap();
         rows.push_back(RecentRequest {
             service: order.service.clone(),
--- a/src/http/request_service.rs
+++ b/src/http/request_service.rs
@@ -10,8 +10,8 @@
 use crate::fleet::config::ServiceKind;
 use crate::fleet::slice::RouteRow;
 use crate::gate::admission::admit;
-use crate::gate::order::Why;
-use crate::gate::{Order, Refusal, Table};
+use crate::gate::order::RefusalReason;
+use crate::gate::{BalancerTable, Refusal, RequestSpec};
 use crate::kernel::time::{Clock, Span, Time};
 use crate::protocol::Protocols;
 use bytes::Bytes;
@@ -26,7 +26,7 @@
 /// Serves the requests of clients. One per router.
 pub struct RequestService {
     /// The routes in force and the balancers of the services.
-    pub table: Arc<Table>,
+    pub table: Arc<BalancerTable>,
     /// The connections to runners.
     pub pool: Arc<Pool>,
     /// The clock that deadlines are read from.
@@ -90,7 +90,7 @@
         self.open_requests.fetch_add(1, Ordering::SeqCst);
         let _count = OpenRequestCount(&self.open_requests);
         if self.is_stopping.load(Ordering::SeqCst) {
-            return refusal_answer(&*self.protocols.caller, &Refusal::new(Why::Stopping, 1));
+            return refusal_answer(&*self.protocols.caller, &Refusal::new(RefusalReason::Stopping, 1));
         }
         if head_bytes(&request) > self.clients.limits().head_bytes {
             let text = "the request's head is over the configured limit; send a smaller one";
@@ -99,7 +99,10 @@
         let now = self.clock.now();
         let host = request.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or("").to_string();
         let Some((routes_version, routes)) = self.table.fresh_routes(now) else {
-            return refusal_answer(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
+            return refusal_answer(
+                &*self.protocols.caller,
+                &Refusal::new(RefusalReason::StaleConfiguration, 1),
+            );
         };
         let Some(row) = routes.find(&host, request.uri().path()) else {
             return coded_answer(
@@ -137,7 +140,7 @@
         let mut headers = end_to_end(&parts.headers);
         headers.remove("x-target-instance");
         let order = match self.build_order(row, now, &headers, &body) {
-            Ok(order) => Order {
+            Ok(order) => RequestSpec {
                 host: host.as_str().into(),
                 path: parts.uri.path().into(),
                 routes_version,
@@ -150,15 +153,18 @@
         if let Err(over) = take_token(&self.table, &*self.clock, &order).await {
             return refusal_answer(&*self.protocols.caller, &over);
         }
-        let Some(gate) = self.table.gate(&order.service) else {
-            return refusal_answer(&*self.protocols.caller, &Refusal::new(Why::Stale, 1));
+        let Some(balancer) = self.table.get(&order.service) else {
+            return refusal_answer(
+                &*self.protocols.caller,
+                &Refusal::new(RefusalReason::StaleConfiguration, 1),
+            );
         };
         self.recent.add(&order, &host, parts.uri.path(), body.len());
         let uri = parts.uri.path_and_query().map_or("/", |p| p.as_str()).parse().unwrap_or_default();
         let forwarded = Arc::new(ForwardedRequest { method: parts.method, uri, headers, body });
         let (tx, rx) = oneshot::channel();
         let work = forward(
-            gate,
+            balancer,
             self.pool.clone(),
             self.clock.clone(),
             ForwardJob { order, forwarded, protocols: self.protocols.clone() },
@@ -184,10 +190,10 @@
 
     /// The refusal of a request whose key is unknown or missing. It does not contain the key.
     fn unknown_key(&self, row: &RouteRow) -> Response<AnswerBody> {
-        if let Some(gate) = self.table.gate(&row.service) {
-            gate.lock().unwrap().count("refused_unknown_key");
+        if let Some(balancer) = self.table.get(&row.service) {
+            balancer.lock().unwrap().count("refused_unknown_key");
         }
-        refusal_answer(&*self.protocols.caller, &Refusal::new(Why::UnknownKey, 0))
+        refusal_answer(&*self.protocols.caller, &Refusal::new(RefusalReason::UnknownKey, 0))
     }
 
     /// The parameters of the request from its route, headers and body. Fails with the answer to a malformed request.
@@ -197,11 +203,11 @@
         now: Time,
         headers: &HeaderMap,
         body: &Bytes,
-    ) -> Result<Order, Box<Response<AnswerBody>>> {
+    ) -> Result<RequestSpec, Box<Response<AnswerBody>>> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let service = row.pick(id ^ now.0).clone();
-        let gate = self.table.gate(&service);
-        let sort = gate.and_then(|g| g.lock().unwrap().slice.as_ref().map(|s| s.service.sort));
+        let balancer = self.table.get(&service);
+        let sort = balancer.and_then(|g| g.lock().unwrap().slice.as_ref().map(|s| s.service.sort));
         let keys =
             match self.protocols.caller.read_params(headers, body, sort == Some(ServiceKind::Assistant)) {
                 Ok(keys) => keys,
@@ -209,26 +215,30 @@
             };
         let most = Span::ms(row.route.due_ms);
         let left = keys.due.map_or(most, |d| d.min(most));
-        Ok(Order {
+        Ok(RequestSpec {
             id,
             service,
             class: row.route.class,
             model: keys.model,
             adapter: keys.adapter,
             prefix: keys.prefix,
-            resumable: row.route.resumable,
-            due: now + self.protocols.caller.max_wait(left, &row.route),
-            end: now + left,
-            whole_by: self.protocols.caller.deadline_covers_body().then_some(now + left + FINAL_EVENT_GRACE),
-            last: keys.last.filter(|_| row.route.resumable),
-            kind: row.route.kind,
-            tries: row.route.tries,
-            aim: Span::ms(row.route.aim_ms),
-            gap: Span::ms(row.route.gap_ms),
-            size: keys.size,
-            parts: keys.parts,
-            runs: self.protocols.runner.run_contract(),
-            ..Order::default()
+            is_resumable: row.route.resumable,
+            start_deadline: now + self.protocols.caller.max_wait(left, &row.route),
+            answer_deadline: now + left,
+            completion_deadline: self
+                .protocols
+                .caller
+                .deadline_covers_body()
+                .then_some(now + left + FINAL_EVENT_GRACE),
+            last_event_id: keys.last.filter(|_| row.route.resumable),
+            route_kind: row.route.kind,
+            max_attempts: row.route.tries,
+            target_latency: Span::ms(row.route.aim_ms),
+            target_gap: Span::ms(row.route.gap_ms),
+            token_counts: keys.size,
+            prompt_parts: keys.parts,
+            run_contract: self.protocols.runner.run_contract(),
+            ..RequestSpec::default()
         })
     }
 }
--- a/src/platform/caller.rs
+++ b/src/platform/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::config::{Route, RouteKind};
 use crate::fleet::tenants::KeyDigest;
-use crate::gate::order::Size;
+use crate::gate::order::TokenCounts;
 use crate::kernel::time::Span;
 use crate::protocol::{CallerProtocol, RequestParams, adapter_name};
 use hyper::header::HeaderMap;
@@ -63,7 +63,7 @@
         }
         if let Some((prompt, most)) = header_text(headers, "x-token-count").and_then(|t| t.split_once(',')) {
             let num = |t: &str| t.trim().parse().unwrap_or(0);
-            out.size = Size { prompt: num(prompt), out: num(most) };
+            out.size = TokenCounts { prompt: num(prompt), output: num(most) };
         }
         if let Some(rows) = header_text(headers, "x-prompt-prefix").and_then(prompt_parts) {
             out.parts = rows.into();
--- a/src/platform/runner.rs
+++ b/src/platform/runner.rs
@@ -1,7 +1,7 @@
 //! The protocol of the platform's runners: request headers, answers, reports, and orders to load and unload.
 
 use crate::fleet::runner::{Runner, RunnerReport};
-use crate::gate::order::Order;
+use crate::gate::order::RequestSpec;
 use crate::json::Tree;
 use crate::json::tree::map;
 use crate::kernel::ids::Name;
@@ -48,7 +48,7 @@
 }
 
 /// The priority class of a request at its runner: by the rank of its tenant, then by the class of its route.
-fn priority_class(order: &Order) -> u8 {
+fn priority_class(order: &RequestSpec) -> u8 {
     let first = order.rank.0.saturating_mul(CLASSES_PER_RANK);
     first.saturating_add(order.class as u8).min(MAX_CLASS)
 }
@@ -69,7 +69,7 @@
         &self,
         headers: &mut HeaderMap,
         runner: &Runner,
-        order: &Order,
+        order: &RequestSpec,
         last: Option<&str>,
         left: Span,
     ) {
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -7,7 +7,7 @@
 use crate::fleet::config::Route;
 use crate::fleet::runner::{Runner, RunnerReport};
 use crate::fleet::tenants::KeyDigest;
-use crate::gate::order::{Order, Parts, Size};
+use crate::gate::order::{PromptParts, RequestSpec, TokenCounts};
 use crate::http::native::{NativeCaller, NativeRunner};
 use crate::kernel::fault::Fault;
 use crate::kernel::ids::{ChangeId, Name};
@@ -36,9 +36,9 @@
     /// The identifier of the prompt prefix; requests with the same one prefer the same runner.
     pub prefix: CompactString,
     /// The number of prompt and output tokens, if given.
-    pub size: Size,
+    pub size: TokenCounts,
     /// The hashes of the prompt's prefix blocks and their lengths.
-    pub parts: Parts,
+    pub parts: PromptParts,
     /// The caller's deadline, as time from now.
     pub due: Option<Span>,
     /// The last event id that the caller received of an earlier attempt.
@@ -101,7 +101,7 @@
         &self,
         heads: &mut HeaderMap,
         runner: &Runner,
-        order: &Order,
+        order: &RequestSpec,
         last: Option<&str>,
         left: Span,
     );
@@ -179,7 +179,7 @@
 }
 
 /// The header value that tells a runner the request's tenant.
-pub fn tenant_value(order: &Order) -> Option<HeaderValue> {
+pub fn tenant_value(order: &RequestSpec) -> Option<HeaderValue> {
     let name = &order.credential.as_ref()?.tenant.name;
     HeaderValue::from_bytes(name.0.as_bytes()).ok()
 }
--- a/src/sim/front.rs
+++ b/src/sim/front.rs
@@ -1,10 +1,10 @@
 use super::record::Fact;
 use super::world::{Event, Woken, World};
 use crate::fleet::tenants::KeyDigest;
-use crate::forwarding::{In, Out, RequestFlow};
+use crate::forwarding::{FlowAction, FlowEvent, RequestFlow};
 use crate::gate::admission::admit;
-use crate::gate::order::Why;
-use crate::gate::{Gate, Order, Plan, Refusal};
+use crate::gate::order::RefusalReason;
+use crate::gate::{Balancer, Refusal, RequestSpec, RoutingDecision};
 use crate::kernel::time::{Span, Time};
 use crate::standin::script::Script;
 use crate::standin::tally::End;
@@ -16,14 +16,14 @@
     pub rows: BTreeMap<u64, SimRequest>,
     pub next: u64,
     /// The nodes and gates at which requests have ended since [`World::check_leaks`] looked last.
-    pub ended_at: Vec<(usize, Arc<Mutex<Gate>>)>,
+    pub ended_at: Vec<(usize, Arc<Mutex<Balancer>>)>,
     /// What ended requests left behind.
     pub leaks: Vec<String>,
 }
 
 pub struct SimRequest {
     pub request: RequestFlow,
-    pub gate: Arc<Mutex<Gate>>,
+    pub balancer: Arc<Mutex<Balancer>>,
     pub place: usize,
     pub life: u64,
     pub call: u64,
@@ -51,13 +51,13 @@
         let Some(row) = routes.find("", path) else { return refused(self, "unknown-route", End::Refused) };
         let key = key.map(|key| KeyDigest::of(key.as_bytes()));
         let Ok(admission) = admit(&routes, row, key) else {
-            return refused(self, Refusal::new(Why::UnknownKey, 0).code(), End::Refused);
+            return refused(self, Refusal::new(RefusalReason::UnknownKey, 0).code(), End::Refused);
         };
         let script = body.as_deref().and_then(Script::read);
-        let Some(gate) = table.gate(&row.service) else { return refused(self, "not-fresh", End::Refused) };
+        let Some(balancer) = table.get(&row.service) else { return refused(self, "not-fresh", End::Refused) };
         self.requests.next += 1;
         let id = self.requests.next;
-        let order = Order {
+        let order = RequestSpec {
             id,
             service: row.service.clone(),
             class: row.route.class,
@@ -66,19 +66,19 @@
             model: script.as_ref().map_or("", |s| s.model.as_str()).into(),
             adapter: script.as_ref().map_or("", |s| s.adapter.as_str()).into(),
             prefix: script.as_ref().map_or("", |s| s.prefix.as_str()).into(),
-            resumable: row.route.resumable,
-            due: now + Span::ms(row.route.due_ms),
-            end: now + Span::ms(row.route.due_ms),
+            is_resumable: row.route.resumable,
+            start_deadline: now + Span::ms(row.route.due_ms),
+            answer_deadline: now + Span::ms(row.route.due_ms),
             path: path.into(),
             routes_version,
-            kind: row.route.kind,
-            gap: Span::ms(row.route.gap_ms),
-            ..Order::default()
+            route_kind: row.route.kind,
+            target_gap: Span::ms(row.route.gap_ms),
+            ..RequestSpec::default()
         };
         self.nodes[place].seen.add(&order, "", path, body.as_ref().map_or(0, |b| b.len()));
         let request = SimRequest {
             request: RequestFlow::new(order),
-            gate,
+            balancer,
             place,
             life,
             call,
@@ -91,14 +91,14 @@
         self.take_token(id, request);
     }
 
-    pub fn request(&mut self, place: usize, life: u64, id: u64, ev: In) {
+    pub fn request(&mut self, place: usize, life: u64, id: u64, ev: FlowEvent) {
         if !self.fits(place, life) {
             return;
         }
         let now = self.local(place);
         let Some(r) = self.requests.rows.get_mut(&id) else { return };
-        let gate = r.gate.clone();
-        let outs = r.request.step(now, ev, &mut gate.lock().unwrap());
+        let balancer = r.balancer.clone();
+        let outs = r.request.step(now, ev, &mut balancer.lock().unwrap());
         for out in outs {
             self.request_out(place, life, id, out);
         }
@@ -108,43 +108,44 @@
     pub fn deliver_plan(&mut self, woken: Woken) {
         let (place, life) = (woken.place, woken.life);
         if self.requests.rows.contains_key(&woken.request) {
-            return self.request(place, life, woken.request, In::Woken(woken.plan));
+            return self.request(place, life, woken.request, FlowEvent::Routed(woken.plan));
         }
-        if let Plan::Send(runner) = woken.plan
+        if let RoutingDecision::Send(runner) = woken.plan
             && self.fits(place, life)
         {
             let now = self.local(place);
-            woken.gate.lock().unwrap().release(now, &runner.instance, &woken.model, None);
+            woken.balancer.lock().unwrap().release_slot(now, &runner.instance, &woken.model, None);
         }
     }
 
-    fn request_out(&mut self, place: usize, life: u64, id: u64, out: Out) {
+    fn request_out(&mut self, place: usize, life: u64, id: u64, out: FlowAction) {
         let now = self.local(place);
         let world_now = self.now;
         let Some(r) = self.requests.rows.get_mut(&id) else { return };
         match out {
-            Out::Wait { avoid } => {
-                let (woken, order, gate) = (self.woken.clone(), r.request.order.clone(), r.gate.clone());
-                let (model, waits_at) = (order.model.to_string(), gate.clone());
+            FlowAction::Wait { avoid } => {
+                let (woken, order, balancer) =
+                    (self.woken.clone(), r.request.spec.clone(), r.balancer.clone());
+                let (model, waits_at) = (order.model.to_string(), balancer.clone());
                 let wake = Box::new(move |plan| {
-                    let woken_one = Woken { place, life, request: id, gate: waits_at, model, plan };
+                    let woken_one = Woken { place, life, request: id, balancer: waits_at, model, plan };
                     woken.lock().unwrap().push_back(woken_one);
                     Ok(())
                 });
-                gate.lock().unwrap().wait(now, order, avoid, wake);
+                balancer.lock().unwrap().wait(now, order, avoid, wake);
             }
-            Out::Open { attempt, runner, last } => {
+            FlowAction::Open { attempt, runner, last_event_id: last } => {
                 r.attempts.insert(attempt, (runner, None));
                 let wait = self.delay() + self.plus(self.slow_open);
                 self.later(wait, Event::Send { place, life, request: id, attempt, last });
             }
-            Out::Close { attempt } => {
+            FlowAction::Close { attempt } => {
                 if let Some((_, Some((k, run)))) = r.attempts.remove(&attempt) {
                     self.end_run(k, run, false);
                 }
             }
-            Out::Head { .. } => {}
-            Out::Pass(raw) => {
+            FlowAction::Head { .. } => {}
+            FlowAction::Forward(raw) => {
                 let gap = world_now.since(r.gap.0);
                 if !r.text.is_empty() {
                     r.gap.1 = r.gap.1.max(gap);
@@ -152,17 +153,17 @@
                 r.gap.0 = world_now;
                 r.text.push_str(&String::from_utf8_lossy(&raw));
             }
-            Out::Finish => self.end_request(id, End::Whole, ""),
-            Out::Break(_) => self.end_request(id, End::Broken, "broken"),
-            Out::Refuse(why) => self.end_request(id, End::Refused, why.code()),
-            Out::Unknown(..) => self.end_request(id, End::Unknown, "unknown"),
-            Out::Told(what, text) => self.note(Fact::Told { what, text }),
+            FlowAction::Finish => self.end_request(id, End::Whole, ""),
+            FlowAction::Abort(_) => self.end_request(id, End::Broken, "broken"),
+            FlowAction::Refuse(why) => self.end_request(id, End::Refused, why.code()),
+            FlowAction::OutcomeUnknown(..) => self.end_request(id, End::Unknown, "unknown"),
+            FlowAction::Log(what, text) => self.note(Fact::Told { what, text }),
         }
     }
 
     fn end_request(&mut self, id: u64, end: End, code: &str) {
         let Some(r) = self.requests.rows.remove(&id) else { return };
-        self.requests.ended_at.push((r.place, r.gate.clone()));
+        self.requests.ended_at.push((r.place, r.balancer.clone()));
         let shown = matches!(end, End::Whole | End::Broken);
         let text = if shown { Some(r.text) } else { None };
         let (call, after) = (r.call, r.gap.1.as_ms());
@@ -198,22 +199,22 @@
         let Some(r) = self.requests.rows.get(&id) else { return };
         let Some((card, _)) = r.attempts.get(&attempt) else { return };
         let name = card.instance.clone();
-        let barred = r.gate.lock().unwrap().check(now, &r.request.order, &name).err();
+        let barred = r.balancer.lock().unwrap().check_before_send(now, &r.request.spec, &name).err();
         if let Some(why) = barred {
-            return self.request(place, life, id, In::OpenFailed { attempt, why: Some(why) });
+            return self.request(place, life, id, FlowEvent::OpenFailed { attempt, reason: Some(why) });
         }
         let call = r.call;
         self.note(Fact::Tried { call });
         let up = self.runner_at(&name).filter(|k| self.runners[*k].alive);
         let Some(k) = up else {
-            let ev = Box::new(In::OpenFailed { attempt, why: None });
+            let ev = Box::new(FlowEvent::OpenFailed { attempt, reason: None });
             return self.later(Span::ms(1), Event::RequestFlow { place, life, request: id, ev });
         };
         if !self.begin_run(k, place, life, id, attempt, last) {
             if let Some(r) = self.requests.rows.get(&id) {
-                r.gate.lock().unwrap().lacks(now, &name, &r.request.order);
+                r.balancer.lock().unwrap().on_missing_weights(now, &name, &r.request.spec);
             }
-            let ev = Box::new(In::OpenFailed { attempt, why: None::<Why> });
+            let ev = Box::new(FlowEvent::OpenFailed { attempt, reason: None::<RefusalReason> });
             self.later(Span::ms(1), Event::RequestFlow { place, life, request: id, ev });
         }
     }
--- a/src/sim/quota.rs
+++ b/src/sim/quota.rs
@@ -5,7 +5,7 @@
 use super::record::Fact;
 use super::world::World;
 use crate::constraints::shares::{QuotaDecision, QuotaDemand};
-use crate::forwarding::In;
+use crate::forwarding::FlowEvent;
 use crate::http::quota::admission_result;
 use crate::kernel::ids::Name;
 use crate::kernel::rand::mix;
@@ -70,17 +70,17 @@
     pub fn connect_shares(&mut self, place: usize, life: u64) {
         let demanded = self.quota.demanded.clone();
         let asker = move |demand| demanded.lock().unwrap().push_back(Demanded { place, life, demand });
-        self.nodes[place].table.quota.lock().unwrap().on_wanted(Arc::new(asker));
+        self.nodes[place].table.quota.lock().unwrap().set_demand_handler(Arc::new(asker));
     }
 
     /// A request goes on to its gate once it has a token, if its tenant has a quota.
     pub fn take_token(&mut self, id: u64, request: SimRequest) {
-        let order = &request.request.order;
+        let order = &request.request.spec;
         let tenant = order.credential.as_ref().map(|credential| credential.tenant.clone());
         let Some(tenant) = tenant.filter(|tenant| tenant.quota.is_some()) else {
             return self.enter_gate(id, request);
         };
-        let (now, due) = (self.local(request.place), order.due);
+        let (now, due) = (self.local(request.place), order.start_deadline);
         let decided = self.quota.decided.clone();
         let wake = Box::new(move |decision| {
             decided.lock().unwrap().push_back(Decided { request: id, decision });
@@ -133,6 +133,6 @@
     fn enter_gate(&mut self, id: u64, request: SimRequest) {
         let (place, life) = (request.place, request.life);
         self.requests.rows.insert(id, request);
-        self.request(place, life, id, In::Go);
+        self.request(place, life, id, FlowEvent::Start);
     }
 }
--- a/src/sim/runners.rs
+++ b/src/sim/runners.rs
@@ -99,8 +99,8 @@
         self.later(TELL, Event::Tell { place, life });
         let now = self.local(place);
         let n = &mut self.nodes[place];
-        let mut tell = n.table.tell(now);
-        if let (at, Some(t)) = n.table.trial() {
+        let mut tell = n.table.router_report(now);
+        if let (at, Some(t)) = n.table.candidate() {
             let old = n.rehearsed.take().filter(|r| r.0 == at);
             let row = old.map_or_else(|| rehearse(&n.table, &Fixed(now), &t, &n.seen.rows()), |r| r.1);
             tell.rehearsal = Some(row.clone());
@@ -119,7 +119,7 @@
         for (id, run) in rows {
             self.end_run(k, id, false);
             let wait = self.delay();
-            let ev = Box::new(crate::forwarding::In::Lost { attempt: run.attempt });
+            let ev = Box::new(crate::forwarding::FlowEvent::Lost { attempt: run.attempt });
             self.later(
                 wait,
                 Event::RequestFlow { place: run.place, life: run.life, request: run.request, ev },
@@ -136,7 +136,7 @@
         for run in runs {
             self.note(Fact::RunEnded { call: run.call, whole: false });
             let wait = self.delay();
-            let ev = Box::new(crate::forwarding::In::Lost { attempt: run.attempt });
+            let ev = Box::new(crate::forwarding::FlowEvent::Lost { attempt: run.attempt });
             self.later(
                 wait,
                 Event::RequestFlow { place: run.place, life: run.life, request: run.request, ev },
--- a/src/sim/world.rs
+++ b/src/sim/world.rs
@@ -4,8 +4,8 @@
 use super::record::{Fact, Record};
 use super::runners::SimRunner;
 use crate::fleet::holdings::UnmetDemand;
-use crate::forwarding::In;
-use crate::gate::{Gate, Plan};
+use crate::forwarding::FlowEvent;
+use crate::gate::{Balancer, RoutingDecision};
 use crate::kernel::ids::*;
 use crate::kernel::rand::{Rand, SeededRandom};
 use crate::kernel::time::{Span, Time};
@@ -21,9 +21,9 @@
     pub place: usize,
     pub life: u64,
     pub request: u64,
-    pub gate: Arc<Mutex<Gate>>,
+    pub balancer: Arc<Mutex<Balancer>>,
     pub model: String,
-    pub plan: Plan,
+    pub plan: RoutingDecision,
 }
 
 pub type Sought = (usize, u64, UnmetDemand);
@@ -72,7 +72,7 @@
         place: usize,
         life: u64,
         request: u64,
-        ev: Box<In>,
+        ev: Box<FlowEvent>,
     },
     Send {
         place: usize,
--- a/src/transfer/event_boundary.rs
+++ b/src/transfer/event_boundary.rs
@@ -1,45 +1,46 @@
-//! Where a stream of events stands: between two events or within one.
+//! Where a stream of events stands: between two events or inside one.
+//!
 #![deny(missing_docs)]
 
-/// Follows a stream byte by byte and keeps none of it.
+/// Follows a stream byte by byte without storing it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct EventBoundary {
-    line_is_empty: bool,
-    within_event: bool,
+    is_line_empty: bool,
+    is_within_event: bool,
     events: u64,
 }
 
 impl Default for EventBoundary {
     fn default() -> EventBoundary {
-        EventBoundary { line_is_empty: true, within_event: false, events: 0 }
+        EventBoundary { is_line_empty: true, is_within_event: false, events: 0 }
     }
 }
 
 impl EventBoundary {
-    /// Takes in the next bytes.
+    /// Processes the next bytes.
     pub fn add(&mut self, bytes: &[u8]) {
         for byte in bytes {
             match byte {
                 b'\n' => self.end_line(),
                 b'\r' => {}
                 _ => {
-                    self.line_is_empty = false;
-                    self.within_event = true;
+                    self.is_line_empty = false;
+                    self.is_within_event = true;
                 }
             }
         }
     }
 
-    /// Whether the stream has had an event and stands behind a whole one: an honest end may be here.
+    /// Whether at least one event has come and none is incomplete: a regular end is possible here.
     pub fn may_end(&self) -> bool {
-        self.events > 0 && !self.within_event
+        self.events > 0 && !self.is_within_event
     }
 
     fn end_line(&mut self) {
-        if self.line_is_empty && self.within_event {
-            self.within_event = false;
+        if self.is_line_empty && self.is_within_event {
+            self.is_within_event = false;
             self.events += 1;
         }
-        self.line_is_empty = true;
+        self.is_line_empty = true;
     }
 }
--- a/tests/platform_given/test_router.rs
+++ b/tests/platform_given/test_router.rs
@@ -5,7 +5,7 @@
 use spindledock::fleet::runner::Runner;
 use spindledock::fleet::slice::{RoutesSlice, Slice, service_slice};
 use spindledock::fleet::state::Scope;
-use spindledock::gate::Table;
+use spindledock::gate::BalancerTable;
 use spindledock::http::client::ClientConnections;
 use spindledock::http::request_service::RequestService;
 use spindledock::kernel::ids::{Name, Version};
@@ -76,7 +76,7 @@
         let caller = Arc::new(PlatformCaller);
         let runner_protocol = Arc::new(PlatformRunner { node: "n".into() });
         let front = Arc::new(RequestService {
-            table: Arc::new(Table::bare(
+            table: Arc::new(BalancerTable::with_unpolled_plain_runners(
                 Name::from("hall-a"),
                 spindledock::distribution::reader::FRESHNESS_LIMIT,
             )),
@@ -103,8 +103,8 @@
     pub async fn open(runners: usize, tries: u64, saved: u64, script: Script) -> TestRouter {
         let router = TestRouter::start(runners, tries, script).await;
         router.publish_config();
-        let gate = router.front.table.gate(&Name::from("s")).expect("a gate");
-        (0..saved * 5).for_each(|_| gate.lock().expect("a gate").tries.first());
+        let gate = router.front.table.get(&Name::from("s")).expect("a gate");
+        (0..saved * 5).for_each(|_| gate.lock().expect("a gate").retry_budget.record_first_send());
         router
     }
 
@@ -130,8 +130,8 @@
                 leaving: false,
             })
             .collect();
-        table.learn(now, &Scope::Routes, self.version, Some(Slice::Routes(RoutesSlice::of(&c))), now);
-        table.learn(
+        table.apply_slice(now, &Scope::Routes, self.version, Some(Slice::Routes(RoutesSlice::of(&c))), now);
+        table.apply_slice(
             now,
             &Scope::Service(Name::from("s")),
             self.version,
--- a/tests/platform_keys.rs
+++ b/tests/platform_keys.rs
@@ -181,8 +181,8 @@
 async fn given_an_unknown_key_when_refused_then_the_router_counts_it() {
     let router = router_with_tenants(&tenant("huka", &["k-1"]), complete_answers()).await;
     ask(&router, "/idem/x", "api-key: k-2\r\n").await;
-    let gate = router.front.table.gate(&"s".into()).expect("a gate");
-    let counts = gate.lock().expect("a gate").counts.clone();
+    let gate = router.front.table.get(&"s".into()).expect("a gate");
+    let counts = gate.lock().expect("a gate").counters.clone();
     assert_eq!(counts.get("refused_unknown_key"), Some(&1), "{counts:?}");
     assert_eq!(router.front.open_requests.load(Ordering::SeqCst), 0);
 }
