--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -12,14 +12,14 @@
 
 rows() {
 cat <<'R'
-run-once|src/forwarding/resume.rs|if !self.may_run_again\(\) \|\||if|must_never none_runs_twice
-refusal-truth|src/forwarding/request.rs|\} else if self.sent \{|} else if false {|must_never none_runs_twice
-stray-legs|src/forwarding/request.rs|if self.over \|\| self.is_stray\(&ev\)|if self.over|forwarding closed_attempt
-last-check|src/gate/core.rs|if now >= order.due \{\s+return Err\(Why::Due\);|if true { return Ok(()); } if now >= order.due { return Err(Why::Due);|must_never after_the_thaw
+run-once|src/forwarding/resume.rs|if !self.may_run_again\(\)\s+\|\||if|must_never none_runs_twice
+refusal-truth|src/forwarding/request.rs|\} else if self.may_have_run \{|} else if false {|must_never none_runs_twice
+stray-legs|src/forwarding/request.rs|if self.is_over \|\| self.is_stray\(&ev\)|if self.is_over|forwarding closed_attempt
+last-check|src/gate/core.rs|if now >= spec.start_deadline \{\s+return Err\(RefusalReason::DeadlinePassed\);|if true { return Ok(()); } if now >= spec.start_deadline { return Err(RefusalReason::DeadlinePassed);|must_never after_the_thaw
 freshness|src/distribution/reader.rs|Span::ms\(2000\)|Span::ms(20000)|must_never that_router_refuses
 tail-term|src/chain/publish.rs|if ctx.now >= ctx.views.role.lease_until|if false|must_never that_router_refuses
 restart-proof|src/distribution/reader.rs|proven < self.started \|\| ||news slides_back
-same-event|src/transfer/handover.rs|if !self.contract.same_place\(a, b\)|if false|must_never_too source_keeps_it
+same-event|src/transfer/handover.rs|if !self.contract.is_same_place\(a, b\)|if false|must_never_too source_keeps_it
 budget|src/gate/budget.rs|if self.credit < 1.0|if false|must_never_too in_the_budget
 holder-wait|src/placement/component.rs|TAKEOVER_WAIT: Span = Span::ms\(4000\)|TAKEOVER_WAIT: Span = Span::ms(0)|must_never_too three_seconds_apart
 room|src/placement/free_room.rs|if free_mb\(c, o, f\) < mb|if false|must_never_too never_overrun
@@ -32,22 +32,22 @@
 ready-stays|src/chain/installation.rs|went_on && self.is_ready && view.has\(self.node_id\)|false|mend all_the_same
 mending|src/chain/view_change.rs|if !self.in_chain\(\) \|\| !self.is_ready \|\| !self.hears_majority\(ctx.now\)|if true|chain changes_go_on
 return-time|src/placement/component.rs|TAKEOVER_WAIT: Span = Span::ms\(4000\)|TAKEOVER_WAIT: Span = Span::ms(14000)|back each_herd
-wait-refused|src/gate/wait.rs|if now \+ wait < order.due \{|if true {|wait hear_it_early
-overlap|src/forwarding/resume.rs|Join::Repeat\(last\) if last == item|Join::Repeat(_)|forwarding mixed
+wait-refused|src/gate/wait.rs|if now \+ wait < spec.start_deadline \{|if true {|wait hear_it_early
+overlap|src/forwarding/resume.rs|ExpectedFirst::Repeat\(last\) if last == item|ExpectedFirst::Repeat(_)|forwarding mixed
 join-by-id|src/forwarding/resume.rs|self.sequence.is_next\(id\)\)|self.sequence.is_next(id) \|\| true)|platform_stream never_mixed
-place-by-id|src/transfer/handover.rs|if !self.contract.same_place\(a, b\)|if false|transfer_ids stays_at_its_source
-silent-kept|src/forwarding/standby.rs|self.began && self.stream && self.order.resumable && !self.unplaced|false|standby goes_on_meanwhile
-standby-apart|src/forwarding/standby.rs|self.standby_failed\(now, &how, Some\(false\), gate, out\)|self.main_differs(now, attempt, &how, gate, out)|standby whole_and_its_own
-standby-steps-in|src/forwarding/resume.rs|if self.standby_steps_in\(&from, out\)|if false|waiter carries_the_stream_on
-waiter-over|src/forwarding/request.rs|gate.inbox.drop_id\(self.order.id\);||waiter neither_a_waiter_nor_a_slot
-plan-late|src/forwarding/request.rs|self.decline\(now, plan, gate\);||waiter goes_back
-slot-released|src/forwarding/request.rs|gate.release\(now, &l.runner.instance, &self.order.model, good\);||must_never none_runs_twice
-plan-untaken|src/gate/waiters.rs|self.give_back\(&runner.instance, &waiter.order.model\);||waiter runtime_wakes_it
+place-by-id|src/transfer/handover.rs|if !self.contract.is_same_place\(a, b\)|if false|transfer_ids stays_at_its_source
+silent-kept|src/forwarding/standby.rs|self.is_answer_started && self.is_stream && self.spec.is_resumable && !self.has_event_without_id|false|standby goes_on_meanwhile
+standby-apart|src/forwarding/standby.rs|self.close_standby\(now, &how, Some\(false\), balancer, out\)|self.on_main_differs(now, attempt, &how, balancer, out)|standby whole_and_its_own
+standby-steps-in|src/forwarding/resume.rs|if self.promote_standby\(&from, out\)|if false|waiter carries_the_stream_on
+waiter-over|src/forwarding/request.rs|balancer.queue.remove_request\(self.spec.id\);||waiter neither_a_waiter_nor_a_slot
+plan-late|src/forwarding/request.rs|self.return_unused_slot\(now, decision, balancer\);||waiter goes_back
+slot-released|src/forwarding/request.rs|balancer.release_slot\(now, &run.runner.instance, &self.spec.model, good\);||must_never none_runs_twice
+plan-untaken|src/gate/waiters.rs|self.return_slot\(&runner.instance, &waiter.spec.model\);||waiter runtime_wakes_it
 end-said|src/http/body.rs|Some\(Err\("the answer was broken off before its end".into\(\)\)\)|None|platform_end never_looks_complete
 close-resets|src/http/client_stream.rs|self.resets_on_close = reset_on_close\(&self.tcp, true\).is_ok\(\);||platform_end router_ends_half_way
 panic-ends|src/daemon/panics.rs|unsafe \{ libc::_exit\(PANIC_EXIT\) \}||panics ends_with_a_logged_event
-closed-end|src/forwarding/attempt.rs|end == AnswerEnd::Framed \|\| l.boundary.may_end\(\)|true|platform_stream_end may_not_be_resumed
-unplaced|src/forwarding/resume.rs|\(self.order.resumable && !self.unplaced\)|(self.order.resumable)|platform_stream_end without_ids
+closed-end|src/forwarding/attempt.rs|end == AnswerEnd::Framed \|\| run.boundary.may_end\(\)|true|platform_stream_end may_not_be_resumed
+unplaced|src/forwarding/resume.rs|\(self.spec.is_resumable && !self.has_event_without_id\)|(self.spec.is_resumable)|platform_stream_end without_ids
 withdrawn-room|src/placement/load_backoff.rs|let known: Option<u64> = names.map\(\|name\| config.max_mb\(name\)\).sum\(\);\s+known.unwrap_or\(report.room_mb\)|names.filter_map(\|name\| config.weight(name)).sum()|withdrawn over_its_room
 withdrawn-unload|src/placement/move_execution.rs|self.unload_withdrawn\(&s, ctx\);||withdrawn over_its_room
 stop-delivered|src/http/client.rs|matches!\(c.phase\(\), Phase::Serving \| Phase::Flushing\) \|\| c.unacknowledged_bytes\(\) > 0|matches!(c.phase(), Phase::Serving)|platform_stop handed_over
@@ -57,20 +57,20 @@
 overdue-room|src/placement/pending_orders.rs|f.is_overdue \|= !f.is_accepted|f.is_finished \|= !f.is_accepted|placement in_flight
 plan-accept|src/placement/proposals.rs|s.config.placement.auto \{ PlanState::Running|true { PlanState::Running|plan version_is_accepted
 plan-allowance|src/placement/plan_execution.rs|if ms > most.ms \|\| tries > most.tries|if false|plan at_its_allowance
-route-again|src/gate/admission.rs|if order.routes_version >= self.routes.0|if true|turn their_route_is_dropped
+route-again|src/gate/admission.rs|if spec.routes_version >= self.routes.0|if true|turn their_route_is_dropped
 key-known|src/gate/admission.rs|if credential.is_none\(\) && !row.route.open|if false|platform_keys has_no_known_key
-key-last-check|src/gate/admission.rs|None => Err\(Why::UnknownKey\),|None => Ok(()),|tenants none_begins_after_the_change
-key-passed-on|src/gate/admission.rs|Some\(_\) => Err\(Why::KeyPassedOn\)|Some(_) => Ok(())|tenants none_begins_after_the_change
+key-last-check|src/gate/admission.rs|None => Err\(RefusalReason::UnknownKey\),|None => Ok(()),|tenants none_begins_after_the_change
+key-passed-on|src/gate/admission.rs|Some\(_\) => Err\(RefusalReason::KeyReassigned\)|Some(_) => Ok(())|tenants none_begins_after_the_change
 key-not-forwarded|src/platform/caller.rs|headers.remove\(KEY_HEADER\)\?|headers.get(KEY_HEADER).cloned()?|platform_keys hears_its_tenant
 tenant-claim|src/platform/runner.rs|headers.remove\(TENANT_HEADER\);||platform_keys neither_key_nor_tenant
 key-unshown|src/chain/operator_reads.rs|state.config.shown\(\)|state.config.tree()|platform_tenants anything_of_the_fleet
 silent-unload|src/placement/pending_orders.rs|!self.is_load && !self.is_overdue|!self.is_load|silent_unload every_model_is_served
 list-step-in|src/runner_list/reader.rs|if age >= self.timing.max_age\(0, 1\) && age >= self.max_age\(ctx\) \{|if false {|runner_list cut_off_from_the_list
 list-mark|src/runner_list/reader.rs|\.filter\(\|r\| r.leaving\)|.filter(\|_\| false)|runner_list held_up_by_slow_disks
-mark-gossip|src/gate/sweep.rs|h.leaving = true;\s+g.wake\(now\);|g.wake(now);|leaving tells_only_it
+mark-gossip|src/gate/sweep.rs|health.is_leaving = true;\s+balancer.route_waiting\(now\);|balancer.route_waiting(now);|leaving tells_only_it
 refused-in-force|src/fleet/fold.rs|return self.end\(id, OutcomeCode::RehearsalFailed|self.config = *t.config; self.config_version = self.at; self.touch(Scope::Routes); return self.end(id, OutcomeCode::RehearsalFailed|rehearse live_orders
 restart-credit|src/gate/budget.rs|credit: 0.0|credit: 10.0|tries restarts
-saved-credit|src/gate/budget.rs|self.share.max\(LEAST as f64\)|500.0|tries quiet_time
+saved-credit|src/gate/budget.rs|self.credit_limit.max\(MIN_CREDIT_LIMIT as f64\)|500.0|tries quiet_time
 round-pace|src/placement/decisions.rs|if now.since\(self.search.last_round_at\) < gap|if false|grown holder_orders_soon
 tell-few|src/rollout/router_reports.rs|routers <= SMALL_FLEET_ROUTERS|true|report_pace hears_each_once_a_second
 tick-pace|src/daemon/ticks.rs|if now.since\(self.last\) < period|if false|ticks fifty_times
@@ -103,7 +103,7 @@
 return-current|src/chain/lease.rs|self.acceptor.granted_lease != Some\(\(from, sent\)\)|false|lease_return waited_for
 late-grant|src/chain/lease.rs| \|\| sent <= self.lease.returned_at||lease_return late_grant
 hopeless-votes|src/chain/view_change.rs|if !self.can_write\(ctx\) \|\| !self.has_writing_majority\(ctx\)|if false|full_and_wiped served_in_most_cases
-held-credit|src/gate/budget.rs| - self.held;|;|tries quiet_time
+held-credit|src/gate/budget.rs| - self.reserved_credit;|;|tries quiet_time
 reuse-quiet|src/http/connection.rs| \|\| !self.transport.guard.has_no_pending_input\(\)||platform_connection nobody_has_read_it_yet
 reuse-unread|src/http/exchange.rs|if !self.is_read_to_end \{|if false {|platform_connection not_read_to_its_end
 reuse-written|src/http/connection.rs|if !written \|\||if|platform_connection before_the_request_was_read
@@ -112,18 +112,18 @@
 drop-resets|src/http/connection.rs|self.guard.reset_if_unacknowledged\(\);||platform_gone long_body_half_way
 interim|src/http/exchange.rs|if self.response.status\(\).is_informational\(\)|if false|platform_connection interim_status
 no-resend|src/http/attempt.rs|Err\(SendError::NotSent\) if was_used|Err(SendError::NotSent \| SendError::MaybeSent) if was_used|platform_gone after_a_request_came
-once-after-reset|src/forwarding/resume.rs|        \(self.order.resumable && !self.unplaced\) \|\| \(self|        true \|\| (self|platform_cuts_runner may_run_once
+once-after-reset|src/forwarding/resume.rs|        \(self.spec.is_resumable && !self.has_event_without_id\)\s+\|\| \(self|        true \|\| (self|platform_cuts_runner may_run_once
 own-id|src/platform/runner.rs|if is_other_answer \{\s+return ResponseOrigin::Stray;|if false { return ResponseOrigin::Stray;|platform_links surplus_answer
-deadline-left|src/http/attempt.rs|job.order.end.since\(job.clock.now\(\)\)|job.order.aim|platform_links told_what_is_left
-caller-gone|src/http/forward.rs|_ = client_gone\(&mut forwarder.response_tx, &forwarder.body\) => In::Gone,||platform_gone caller_that_leaves
-whole-by|src/forwarding/migration.rs|self.order.whole_by.is_some_and|None::<Time>.is_some_and|platform_gone answer_that_has_begun
-late-answer|src/forwarding/migration.rs|if !self.began && now >= self.order.end|if false|platform_gone late_answer
+deadline-left|src/http/attempt.rs|job.order.answer_deadline.since\(job.clock.now\(\)\)|job.order.target_latency|platform_links told_what_is_left
+caller-gone|src/http/forward.rs|_ = client_gone\(&mut forwarder.response_tx, &forwarder.body\) => FlowEvent::ClientGone,||platform_gone caller_that_leaves
+whole-by|src/forwarding/tick.rs|self.spec.completion_deadline.is_some_and|None::<Time>.is_some_and|platform_gone answer_that_has_begun
+late-answer|src/forwarding/tick.rs|if !self.is_answer_started && now >= self.spec.answer_deadline|if false|platform_gone late_answer
 head-size|src/http/request_service.rs|if head_bytes\(&request\) > |if false && 0 > |platform_limits limit_on_heads
 head-time|src/http/client.rs|now.since\(since\) > Span::ms\(limits.head_ms\)|false|platform_limits comes_slowly
 rest-time|src/http/client.rs|now.since\(since\) > limit.max|false && now.since(since) > limit.max|platform_limits at_rest
 rest-longer|src/http/client.rs|limit.max\(Span::ms\(limits.idle_ms\)\)|Span::ms(limits.idle_ms)|platform_limits limit_shrinks
-dark-once|src/forwarding/migration.rs|self.may_run_again\(\) && gate.dark|gate.dark|forwarding that_is_dark
-move-runners|src/forwarding/migration.rs|if self.opened >= self.order.tries \{\s+return;|if false { return;|forwarding most_runners
+dark-once|src/forwarding/tick.rs|self.may_run_again\(\) && balancer.is_report_stale|balancer.is_report_stale|forwarding that_is_dark
+move-runners|src/forwarding/move_start.rs|if self.attempts_opened >= self.spec.max_attempts \{\s+return;|if false { return;|forwarding most_runners
 order-digest|src/kernel/change_id.rs|hasher.update\(part\);|hasher.update(&part[..part.len().min(2)]);|order_identity digests_differ
 order-digest-lengths|src/kernel/change_id.rs|hasher.update\(\(part.len\(\) as u64\).to_le_bytes\(\)\);||order_identity digests_differ
 ledger-apart|src/fleet/ledger.rs|if !change.id.is_operators\(\) \{\s+return;\s+\}\s+self.taken|self.taken|order_identity thousands_of_internal
@@ -148,7 +148,7 @@
 quota-repeat|src/constraints/answers.rs|Some\(last\) if last.key == key|Some(last) if false|quota_owner tokens_are_spent_once
 quota-lease|src/constraints/tenant_share.rs|self.tokens.retain\(\|tokens\| now < tokens.valid_until\);||quota_share lease_has_run_out
 quota-missed-view|src/constraints/counters.rs|old.filter\(\|old\| old.no.next\(\) == view.no\)|old|quota_owner missed_a_view
-quota-handed-once|src/constraints/handover.rs|self.given_up.remove\(tenant\)\?|*self.given_up.get(tenant)?|quota_owner goes_on_with_its_count
+quota-handed-once|src/constraints/handover.rs|self.offered.remove\(tenant\)\?|*self.offered.get(tenant)?|quota_owner goes_on_with_its_count
 quota-limits-known|src/constraints/owner.rs| && config_version == ctx.views.state.config_version||quota_owner older_limits_than_the_tail
 quota-tail-lease|src/constraints/authority.rs| && ctx.now < role.lease_until||quota_owner tail_without_its_lease
 R
