--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -1,6 +1,6 @@
 //! Traits for the formats that callers, runners and operators speak.
 //!
-//! [`crate::http::own`] implements the product's own formats and [`crate::platform`] those of the platform.
+//! [`crate::http::native`] implements the product's own formats and [`crate::platform`] those of the platform.
 //! The rest of the code uses only these traits, through [`Protocols`].
 
 use crate::fleet::FleetConfig;
