--- a/src/gate/admission.rs
+++ b/src/gate/admission.rs
@@ -34,7 +34,7 @@
 
 impl Balancer {
     /// Whether the newest routes and tenants still allow a request that was admitted by earlier ones. A request may
-    /// also have been admitted by newer ones than this gate was told of yet.
+    /// also have been admitted by newer ones than this balancer was told of yet.
     pub fn admits(&self, spec: &RequestSpec) -> Result<(), RefusalReason> {
         if spec.routes_version >= self.routes.0 || spec.path.is_empty() {
             return Ok(());
