--- a/src/sim/mod.rs
+++ b/src/sim/mod.rs
@@ -12,6 +12,7 @@
 pub mod cost;
 pub mod disk;
 pub mod effects;
+pub mod event;
 pub mod faults;
 pub mod folder;
 pub mod folder_steps;
--- a/src/sim/world.rs
+++ b/src/sim/world.rs
@@ -1,145 +1,80 @@
+//! A fleet in simulated time: the queue of events, and what nodes, runners and callers share.
+//! The module `event` defines the events; the other modules of `sim` add to [`World`] what each event does.
+
 use super::front::Requests;
 use super::listing::SimList;
 use super::nodes::SimNode;
 use super::record::{Fact, Record};
 use super::runners::SimRunner;
-use crate::fleet::holdings::UnmetDemand;
-use crate::forwarding::FlowEvent;
-use crate::gate::{Balancer, RoutingDecision};
 use crate::kernel::ids::*;
 use crate::kernel::rand::{Rand, SeededRandom};
 use crate::kernel::time::{Span, Time};
 use crate::launch::deployment::Deployment;
-use crate::msg::{Answer, Envelope};
-use crate::runner_list::messages::RunnerListing;
+use crate::msg::Answer;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// A plan for a request that waits, on its way to it.
-pub struct Woken {
-    pub place: usize,
-    pub life: u64,
-    pub request: u64,
-    pub balancer: Arc<Mutex<Balancer>>,
-    pub model: String,
-    pub plan: RoutingDecision,
-}
-
-pub type Sought = (usize, u64, UnmetDemand);
-pub type Deed = Box<dyn FnOnce(&mut World)>;
-
-pub enum Event {
-    Tick {
-        place: usize,
-        life: u64,
-    },
-    Work {
-        place: usize,
-        life: u64,
-    },
-    Envelope {
-        to: SocketAddr,
-        letter: Box<Envelope>,
-    },
-    Looked {
-        place: usize,
-        life: u64,
-        runner: Name,
-    },
-    Synced {
-        place: usize,
-        life: u64,
-        upto: u64,
-    },
-    Reported {
-        place: usize,
-        life: u64,
-        runner: Name,
-        report: Option<Box<crate::fleet::runner::RunnerReport>>,
-    },
-    Tell {
-        place: usize,
-        life: u64,
-    },
-    Driven {
-        place: usize,
-        life: u64,
-        order: OrderId,
-        status: u16,
-    },
-    RequestFlow {
-        place: usize,
-        life: u64,
-        request: u64,
-        ev: Box<FlowEvent>,
-    },
-    Send {
-        place: usize,
-        life: u64,
-        request: u64,
-        attempt: u64,
-        last: Option<String>,
-    },
-    Run {
-        runner: usize,
-        life: u64,
-        run: u64,
-    },
-    Loaded {
-        runner: usize,
-        life: u64,
-        name: Name,
-    },
-    Flow {
-        flow: usize,
-    },
-    ListPoll {
-        place: usize,
-        life: u64,
-    },
-    ListAnswer {
-        place: usize,
-        life: u64,
-        listing: Box<RunnerListing>,
-    },
-    Do(Deed),
-}
+pub use super::event::{Deed, Event, Sought, Woken};
 
+/// A simulated fleet with its clock, its network and the record of a run.
 pub struct World {
+    /// The simulated time; each node's own clock differs from it.
     pub now: Time,
+    /// The source of all random choices, so that a seed always gives the same run.
     pub rand: SeededRandom,
     queue: BTreeMap<(Time, u64), Event>,
+    /// The number of the latest event; events of the same time run in the order of their numbers.
     next: u64,
+    /// The deployment that is simulated.
     pub plan: Deployment,
+    /// The routers and controllers, also those that are down.
     pub nodes: Vec<SimNode>,
+    /// The runners, also those that are down.
     pub runners: Vec<SimRunner>,
+    /// The requests at the routers.
     pub requests: Requests,
+    /// The facts that the checks judge a run by.
     pub record: Record,
+    /// The pairs of nodes (sender, receiver) whose messages are dropped.
     pub cuts: BTreeSet<(usize, usize)>,
+    /// How many of a thousand messages between nodes are lost.
     pub loss: u64,
+    /// The longest that a message is delayed beyond the usual, in microseconds.
     pub slow_net: u64,
+    /// The longest that opening an attempt at a runner is delayed beyond the usual, in microseconds.
     pub slow_open: u64,
+    /// The longest that a runner's report is delayed beyond the usual, in microseconds.
     pub slow_poll: u64,
     /// The longest that one in four orders to runners is held up on its way, in microseconds.
     pub slow_order: u64,
+    /// The answers to operators' calls, except those to the reads in `shows`.
     pub answers: BTreeMap<ChangeId, Answer>,
+    /// Plans for waiting requests, not yet delivered.
     pub woken: Arc<Mutex<VecDeque<Woken>>>,
+    /// Unmet demands that routers noticed and that are not yet delivered to those routers' nodes.
     pub sought: Arc<Mutex<VecDeque<Sought>>>,
+    /// The tenants of the calls, and what is on its way between requests and quotas.
     pub quota: super::quota::SimQuota,
+    /// The flows of calls, also those that are over.
     pub flows: Vec<super::callers::SimFlow>,
     /// The keys that callers use in turn; without any they send none.
     pub caller_keys: Vec<String>,
+    /// How many calls were made; also the number of the latest.
     pub calls: u64,
+    /// The mark of the route `/x{mark}` that the latest random change added; the next change drops it.
     pub turn: Option<u64>,
+    /// The kinds of effects of all nodes with their times, if they are collected.
     pub marks: Option<Vec<(Time, &'static str)>>,
+    /// Open reads of the configuration: the node asked and the time.
     pub shows: BTreeMap<ChangeId, (usize, Time)>,
+    /// The count of the messages sent, if they are counted.
     pub cost: Option<Box<super::cost::Cost>>,
     /// The platform's list of runners, if it has one.
     pub list: Option<SimList>,
 }
 
 impl World {
+    /// A world at time 0 without nodes, runners or faults.
     pub fn new(plan: Deployment, seed: u64) -> World {
         World {
             now: Time(0),
@@ -172,25 +107,30 @@
         }
     }
 
+    /// Queues an event, due after `wait`.
     pub fn later(&mut self, wait: Span, ev: Event) {
         self.next += 1;
         self.queue.insert((self.now + wait, self.next), ev);
     }
 
+    /// Runs an action at the time `when`, or as soon as possible if that has passed.
     pub fn at(&mut self, when: Time, deed: impl FnOnce(&mut World) + 'static) {
         let wait = when.since(self.now);
         self.later(wait, Event::Do(Box::new(deed)));
     }
 
+    /// Adds a fact to the record.
     pub fn note(&mut self, fact: Fact) {
         self.record.add(self.now, fact);
     }
 
+    /// Runs all events of the next `span`.
     pub fn run_for(&mut self, span: Span) {
         let end = self.now + span;
         self.run_to(end);
     }
 
+    /// Runs all events that are due by `end`.
     pub fn run_to(&mut self, end: Time) {
         while let Some((&key, _)) = self.queue.first_key_value() {
             if key.0 > end {
@@ -205,6 +145,7 @@
         self.now = end;
     }
 
+    /// Runs until `test` holds, tried every 20 ms; gives the time it took, `None` if it took `most` or more.
     pub fn until(&mut self, most: Span, test: impl Fn(&mut World) -> bool) -> Option<Span> {
         let began = self.now;
         while self.now.since(began) < most {
@@ -230,6 +171,7 @@
         }
     }
 
+    /// Hands an event to its node: held back while the node is frozen, queued if its inputs take time.
     pub(super) fn step(&mut self, ev: Event) {
         let Some(place) = place_of(self, &ev) else { return self.act(ev) };
         let n = &mut self.nodes[place];
@@ -242,6 +184,7 @@
         self.act(ev);
     }
 
+    /// Carries out an event at once, whether or not its node is frozen or busy.
     pub fn act(&mut self, ev: Event) {
         match ev {
             Event::Tick { place, life } => self.tick(place, life),
@@ -268,14 +211,17 @@
         }
     }
 
+    /// Is true in `per_mille` of a thousand cases, at random.
     pub fn chance(&mut self, per_mille: u64) -> bool {
         self.rand.below(1000) < per_mille
     }
 
+    /// A random span below `most` microseconds; zero if `most` is 0.
     pub fn plus(&mut self, most: u64) -> Span {
         if most > 0 { Span(self.rand.below(most)) } else { Span(0) }
     }
 
+    /// A random delay of a message, 200 to 999 microseconds, plus less than `slow_net`.
     pub fn delay(&mut self) -> Span {
         let base = 200 + self.rand.below(800);
         let slow = if self.slow_net > 0 { self.rand.below(self.slow_net) } else { 0 };
@@ -283,6 +229,7 @@
     }
 }
 
+/// The node that an event is an input of; none for events of runners, flows and actions.
 fn place_of(w: &World, ev: &Event) -> Option<usize> {
     match ev {
         Event::Envelope { to, .. } => w.nodes.iter().position(|n| n.place.addr == *to),
