--- a/src/chain/acceptor.rs
+++ b/src/chain/acceptor.rs
@@ -30,7 +30,7 @@
 pub struct AcceptedView {
     /// The ballot of the proposal.
     pub ballot: Ballot,
-    /// The view proposed.
+    /// The accepted view.
     pub view: View,
 }
 
@@ -162,7 +162,7 @@
     fn accept_or_defer(&mut self, from: NodeId, proposal: AcceptedView, ctx: &mut Context) {
         let ends_lease = self.view.as_ref().is_some_and(|old| ends_lease(&proposal.view, old));
         if ends_lease && self.lease_may_run(ctx.now) {
-            let old = self.acceptor.deferred.as_ref().map(|d| d.proposal.ballot);
+            let old = self.acceptor.deferred.as_ref().map(|deferred| deferred.proposal.ballot);
             if old.is_none_or(|b| b <= proposal.ballot) {
                 self.acceptor.deferred = Some(DeferredAccept { from, proposal, since: ctx.now });
             }
@@ -202,11 +202,11 @@
     /// Accepts the deferred view once the lease has expired or was returned.
     pub fn accept_deferred(&mut self, ctx: &mut Context) {
         if !self.lease_may_run(ctx.now)
-            && let Some(d) = self.acceptor.deferred.take()
-            && ctx.now.since(d.since) < DEFERRED_TIMEOUT
-            && self.can_vote_on(d.from, d.proposal.view.no, ctx)
+            && let Some(deferred) = self.acceptor.deferred.take()
+            && ctx.now.since(deferred.since) < DEFERRED_TIMEOUT
+            && self.can_vote_on(deferred.from, deferred.proposal.view.no, ctx)
         {
-            self.accept(d.from, d.proposal, ctx);
+            self.accept(deferred.from, deferred.proposal, ctx);
         }
     }
 
--- a/src/chain/adoption.rs
+++ b/src/chain/adoption.rs
@@ -32,7 +32,7 @@
     /// Queues a configuration in the operator's own format.
     pub(super) fn queue_adoption(&mut self, id: ChangeId, op: &OperatorCall, ctx: &mut Context) {
         let OperatorCall::PlatformConfig { base, part, text } = op else { return };
-        if self.adoptions.side.is_none() {
+        if self.adoptions.protocol.is_none() {
             let text = "this node accepts configurations in the native format only";
             return self.finish(id, Answer::new(400, "bad-order", text, 0), ctx);
         }
@@ -62,21 +62,21 @@
             return;
         }
         self.adoptions.submitted = None;
-        let mut n = 0;
-        while n < self.adoptions.waiting.len() {
-            match self.next_step(&self.adoptions.waiting[n], ctx) {
-                AdoptionStep::Wait => n += 1,
+        let mut index = 0;
+        while index < self.adoptions.waiting.len() {
+            match self.next_step(&self.adoptions.waiting[index], ctx) {
+                AdoptionStep::Wait => index += 1,
                 AdoptionStep::Answer(answer) => {
-                    let adoption = self.adoptions.waiting.remove(n);
+                    let adoption = self.adoptions.waiting.remove(index);
                     ctx.log_event("change-refused", format!("{} {}", adoption.id, answer.body));
                     self.finish(adoption.id, answer, ctx);
                 }
                 AdoptionStep::Refuse(code, text, answer) => {
-                    self.refuse_adoption(n, code, text, answer, ctx);
-                    n += 1;
+                    self.refuse_adoption(index, code, text, answer, ctx);
+                    index += 1;
                 }
                 AdoptionStep::Adopt(config) => {
-                    let adoption = self.adoptions.waiting.remove(n);
+                    let adoption = self.adoptions.waiting.remove(index);
                     return self.submit_adoption(adoption.id, config, ctx);
                 }
             }
@@ -118,7 +118,7 @@
     fn base_is_behind(&self, adoption: &WaitingAdoption, base: u64, ctx: &Context) -> AdoptionStep {
         let ledger = &ctx.views.state.ledger;
         let forgotten = ledger.may_have_forgotten(Some(base), None)
-            && ledger.may_have_forgotten(Some(base), adoption.revision(self.adoptions.side.as_deref()));
+            && ledger.may_have_forgotten(Some(base), adoption.revision(self.adoptions.protocol.as_deref()));
         if forgotten {
             return AdoptionStep::Answer(outcome_unknown());
         }
@@ -128,12 +128,12 @@
 
     /// The base is the current revision, or none is given: reads the document against the current configuration.
     fn read_document(&self, adoption: &WaitingAdoption, ctx: &Context) -> AdoptionStep {
-        let Some(side) = &self.adoptions.side else { return AdoptionStep::Wait };
+        let Some(protocol) = &self.adoptions.protocol else { return AdoptionStep::Wait };
         if adoption.refusal_submitted_at.is_some_and(|since| ctx.now.since(since) < RESUBMIT_AFTER) {
             return AdoptionStep::Wait;
         }
         let current = ctx.views.state.config.revision;
-        let config = match side.read(&ctx.views.state.config, &adoption.text, adoption.part) {
+        let config = match protocol.read(&ctx.views.state.config, &adoption.text, adoption.part) {
             Ok(config) => config,
             Err(bad) if adoption.part && adoption.base.is_none() => {
                 return AdoptionStep::Refuse(OutcomeCode::BadConfiguration, bad[0].to_string(), faults(&bad));
@@ -153,17 +153,17 @@
 
     fn refuse_adoption(
         &mut self,
-        n: usize,
+        index: usize,
         code: OutcomeCode,
         text: String,
         full: Answer,
         ctx: &mut Context,
     ) {
-        let adoption = &mut self.adoptions.waiting[n];
+        let adoption = &mut self.adoptions.waiting[index];
         adoption.refusal_submitted_at = Some(ctx.now);
         let (id, base) = (adoption.id, adoption.base);
         let last_revision =
-            base.or_else(|| adoption.revision(self.adoptions.side.as_deref())).unwrap_or(u64::MAX);
+            base.or_else(|| adoption.revision(self.adoptions.protocol.as_deref())).unwrap_or(u64::MAX);
         self.pending_refusals.insert(id, full);
         self.submit(id, Change::Refuse { id, base, last_revision, code, text }, ctx);
     }
--- a/src/chain/adoption_queue.rs
+++ b/src/chain/adoption_queue.rs
@@ -30,12 +30,12 @@
 }
 
 impl WaitingAdoption {
-    pub fn revision(&self, side: Option<&dyn OperatorProtocol>) -> Option<u64> {
-        *self.revision.get_or_init(|| side?.revision(&self.text))
+    pub fn revision(&self, protocol: Option<&dyn OperatorProtocol>) -> Option<u64> {
+        *self.revision.get_or_init(|| protocol?.revision(&self.text))
     }
 
-    fn yields_revision(&self, revision: u64, side: Option<&dyn OperatorProtocol>) -> bool {
-        self.base.is_none_or(|base| base < revision) && self.revision(side) == Some(revision)
+    fn yields_revision(&self, revision: u64, protocol: Option<&dyn OperatorProtocol>) -> bool {
+        self.base.is_none_or(|base| base < revision) && self.revision(protocol) == Some(revision)
     }
 }
 
@@ -50,16 +50,16 @@
 /// The configurations that wait at the head, and the one submitted to the chain.
 #[derive(Clone, Default)]
 pub struct AdoptionQueue {
-    pub(super) side: Option<Arc<dyn OperatorProtocol>>,
+    pub(super) protocol: Option<Arc<dyn OperatorProtocol>>,
     pub(super) waiting: Vec<WaitingAdoption>,
     pub(super) submitted: Option<SubmittedAdoption>,
     live_routes: BTreeMap<NodeId, (Time, Vec<RouteTraffic>)>,
 }
 
 impl AdoptionQueue {
-    /// A queue that reads documents in the format of `side`.
-    pub fn new(side: Option<Arc<dyn OperatorProtocol>>) -> AdoptionQueue {
-        AdoptionQueue { side, ..AdoptionQueue::default() }
+    /// A queue that reads documents in the format of `protocol`.
+    pub fn new(protocol: Option<Arc<dyn OperatorProtocol>>) -> AdoptionQueue {
+        AdoptionQueue { protocol, ..AdoptionQueue::default() }
     }
 
     /// Whether the configuration waits here or is submitted.
@@ -79,9 +79,9 @@
     }
 
     /// Keeps a router's report of its recent traffic by route.
-    pub fn note_live_routes(&mut self, from: NodeId, now: Time, tell: &RouterReport) {
-        if self.side.is_some() && !tell.live.is_empty() {
-            self.live_routes.insert(from, (now, tell.live.clone()));
+    pub fn note_live_routes(&mut self, from: NodeId, now: Time, report: &RouterReport) {
+        if self.protocol.is_some() && !report.live.is_empty() {
+            self.live_routes.insert(from, (now, report.live.clone()));
         }
     }
 
@@ -94,7 +94,10 @@
     /// Whether a configuration that waits or is submitted would lead to `revision`.
     pub(super) fn will_reach_revision(&self, revision: u64) -> bool {
         self.submitted.as_ref().is_some_and(|adoption| adoption.revision == revision)
-            || self.waiting.iter().any(|adoption| adoption.yields_revision(revision, self.side.as_deref()))
+            || self
+                .waiting
+                .iter()
+                .any(|adoption| adoption.yields_revision(revision, self.protocol.as_deref()))
     }
 
     /// What the new configuration would do to the recent requests of the routers. It is only reported, and refuses
--- a/src/chain/change_queue.rs
+++ b/src/chain/change_queue.rs
@@ -43,9 +43,9 @@
 }
 
 impl ChangeQueue {
-    /// A queue that also takes configurations in the format of `side`.
-    pub fn new(side: Option<Arc<dyn OperatorProtocol>>) -> ChangeQueue {
-        ChangeQueue { adoptions: AdoptionQueue::new(side), ..ChangeQueue::default() }
+    /// A queue that also takes configurations in the format of `protocol`.
+    pub fn new(protocol: Option<Arc<dyn OperatorProtocol>>) -> ChangeQueue {
+        ChangeQueue { adoptions: AdoptionQueue::new(protocol), ..ChangeQueue::default() }
     }
 
     /// Decides on an operator call. The head's state was confirmed as current after the call arrived
@@ -115,7 +115,7 @@
     }
 
     /// Submits a change for each runner that a router reports as leaving and the state does not show so yet.
-    fn submit_leaving(&mut self, tell: &RouterReport, ctx: &mut Context) {
+    fn submit_leaving(&mut self, report: &RouterReport, ctx: &mut Context) {
         if !ctx.views.role.is_head
             || !ctx.views.role.is_ready
             || ctx.views.role.copies < ctx.views.role.required_copies
@@ -123,7 +123,7 @@
             return;
         }
         self.leaving_submitted.retain(|_, since| ctx.now.since(*since) < RESUBMIT_AFTER);
-        for name in &tell.leaving {
+        for name in &report.leaving {
             let listed = ctx.views.state.runner(name).is_some_and(|runner| !runner.leaving);
             if listed && !self.leaving_submitted.contains_key(name) {
                 self.leaving_submitted.insert(name.clone(), ctx.now);
@@ -211,9 +211,9 @@
                 Msg::Chain(ChainMsg::ReadIndexReply { view, sent, committed }) => {
                     self.on_read_index_reply(*view, *sent, *committed, ctx)
                 }
-                Msg::RouterReport(tell) => {
-                    self.adoptions.note_live_routes(*from, ctx.now, tell);
-                    self.submit_leaving(tell, ctx);
+                Msg::RouterReport(report) => {
+                    self.adoptions.note_live_routes(*from, ctx.now, report);
+                    self.submit_leaving(report, ctx);
                 }
                 Msg::UpdateRequest { nonce, direct: true, have } => {
                     self.on_update_request(*from, *nonce, have, ctx)
--- a/src/chain/core.rs
+++ b/src/chain/core.rs
@@ -85,7 +85,7 @@
 impl Chain {
     /// A chain member with the state restored from its records on disk.
     pub fn new(node_id: NodeId, records: Vec<Record>, started_at: Time) -> Chain {
-        let mut c = Chain {
+        let mut chain = Chain {
             fleet: FleetId(0),
             view: None,
             log: ReplicationLog::default(),
@@ -114,10 +114,10 @@
             ready_since: started_at,
             has_reported_ready: false,
         };
-        for r in records {
-            c.restore_record(r);
+        for record in records {
+            chain.restore_record(record);
         }
-        c
+        chain
     }
 
     /// Whether this node is a member of the chain in its view.
@@ -144,7 +144,7 @@
         }
         self.inherited_up_to = self.log.last();
         if let Some(view) = self.view.clone() {
-            for node in view.all() {
+            for node in view.nodes() {
                 self.mark_alive(node, ctx.now);
             }
             self.is_ready = view.head() == Some(self.node_id) || self.ready_in_view == Some(view.no);
--- a/src/chain/heartbeat.rs
+++ b/src/chain/heartbeat.rs
@@ -30,7 +30,7 @@
         };
         let is_isolated = !self.hears_majority(ctx.now);
         if slept || (self.is_isolated && !is_isolated) {
-            for node in view.all() {
+            for node in view.nodes() {
                 self.mark_alive(node, ctx.now);
             }
         }
@@ -38,7 +38,7 @@
         if is_isolated {
             self.proposal = None;
         }
-        self.send_heartbeats(&view.all(), view.no, is_isolated, ctx);
+        self.send_heartbeats(&view.nodes(), view.no, is_isolated, ctx);
         if !is_isolated {
             self.renew_lease(ctx);
         }
@@ -78,7 +78,7 @@
         if view_no < view.no {
             return ctx.chain(from, ChainMsg::ViewDecided { view });
         }
-        if state.is_impaired && !view.all().contains(&from) {
+        if state.is_impaired && !view.nodes().contains(&from) {
             let answer = self.heartbeat(view.no, ctx);
             ctx.chain(from, answer);
         }
@@ -144,7 +144,7 @@
 
     /// The version up to which this member and all after it in the chain have synced every change.
     pub fn synced_to_tail(&self) -> Version {
-        match self.view.as_ref().and_then(|v| v.after(self.node_id)) {
+        match self.view.as_ref().and_then(|v| v.successor(self.node_id)) {
             Some(_) => self.successor_synced_to_tail.min(self.log.last()),
             None => self.log.last(),
         }
--- a/src/chain/installation.rs
+++ b/src/chain/installation.rs
@@ -25,8 +25,8 @@
         self.successor = SuccessorProgress::default();
         self.successor_synced_to_tail = Version(0);
         self.view_installed_at = ctx.now;
-        let known = self.view.as_ref().filter(|old| old.has(self.node_id)).map_or(vec![], View::all);
-        for node in view.all().into_iter().filter(|n| !known.contains(n)) {
+        let known = self.view.as_ref().filter(|old| old.has(self.node_id)).map_or(vec![], View::nodes);
+        for node in view.nodes().into_iter().filter(|n| !known.contains(n)) {
             self.mark_alive(node, ctx.now);
         }
         let went_on = self.view.as_ref().is_some_and(|old| old.no.next() == view.no && old.has(self.node_id));
--- a/src/chain/join.rs
+++ b/src/chain/join.rs
@@ -91,7 +91,7 @@
         if !self.is_ready || ctx.now >= self.lease.valid_until {
             return;
         }
-        let Some(want) = view.with(from, ctx.me) else { return };
+        let Some(want) = view.with_member(from, ctx.me) else { return };
         let cheap = self.log.bytes_after(synced)
             <= MAX_CATCH_UP_BYTES.max(2 * ctx.views.state.config.size_estimate());
         let rows = if is_following && cheap { self.log.entries_after(synced) } else { None };
@@ -108,7 +108,7 @@
 
     /// Replaces the own log with a snapshot.
     pub fn on_snapshot(&mut self, from: NodeId, at: Version, state: &FleetState, ctx: &mut Context) {
-        let pred = self.view.as_ref().and_then(|v| v.before(self.node_id));
+        let pred = self.view.as_ref().and_then(|v| v.predecessor(self.node_id));
         if self.in_chain() && (pred != Some(from) || at <= self.log.last()) {
             return;
         }
@@ -131,9 +131,9 @@
         if self.in_chain() || !self.joiner.is_following || tail != Some(from) {
             return;
         }
-        for e in entries {
-            match self.log.classify(e) {
-                EntryFit::Next => self.append_entry(e.clone(), ctx),
+        for entry in entries {
+            match self.log.classify(entry) {
+                EntryFit::Next => self.append_entry(entry.clone(), ctx),
                 EntryFit::AlreadyHeld => {}
                 EntryFit::Gap => break,
                 EntryFit::Conflict => {
--- a/src/chain/leaving.rs
+++ b/src/chain/leaving.rs
@@ -126,7 +126,7 @@
         if !self.is_ready && !view.voters.contains(&self.node_id) {
             return true;
         }
-        let all_leave = view.all().iter().all(|n| *n == self.node_id || self.is_leaving(*n));
+        let all_leave = view.nodes().iter().all(|n| *n == self.node_id || self.is_leaving(*n));
         let outside = |r: &MemberRow| {
             r.who.node != self.node_id && !view.has(r.who.node) && r.silence < SUCCESSOR_HEARD
         };
--- a/src/chain/ledger_transfer.rs
+++ b/src/chain/ledger_transfer.rs
@@ -66,7 +66,7 @@
         if ctx.now.since(self.ledger_request.sent) < REQUEST_INTERVAL {
             return;
         }
-        if let Some(previous) = view.before(ctx.me.node) {
+        if let Some(previous) = view.predecessor(ctx.me.node) {
             self.ledger_request.sent = ctx.now;
             ctx.chain(previous, ChainMsg::LeaseLedgerRequest { view: view.no, nonce });
         }
@@ -74,7 +74,8 @@
 
     /// On the predecessor: answers with all recorded leases.
     pub(super) fn on_ledger_request(&self, from: NodeId, view_no: ViewNo, nonce: u64, ctx: &mut Context) {
-        let view = self.current_view(ctx).filter(|v| v.no == view_no && v.after(ctx.me.node) == Some(from));
+        let view =
+            self.current_view(ctx).filter(|v| v.no == view_no && v.successor(ctx.me.node) == Some(from));
         if view.is_some() {
             let ledger = self.ledger(ctx.now);
             ctx.chain(from, ChainMsg::LeaseLedger { view: view_no, nonce, ledger });
--- a/src/chain/read_index.rs
+++ b/src/chain/read_index.rs
@@ -62,7 +62,7 @@
     /// Adds a call, or a newer attempt of one that already waits; a repetition of the same attempt changes nothing.
     /// False if there are too many.
     fn add(&mut self, new: Arrival) -> bool {
-        if let Some(old) = self.arrivals.iter_mut().find(|a| a.id == new.id) {
+        if let Some(old) = self.arrivals.iter_mut().find(|arrival| arrival.id == new.id) {
             if old.attempt != new.attempt {
                 *old = new;
             }
@@ -78,16 +78,18 @@
     /// Removes and returns the calls that arrived before the confirmed request was sent, except those that wait for
     /// another member.
     fn confirmed(&mut self, applied: Version, has_enough_copies: bool) -> Vec<Arrival> {
-        let Some(proof) = self.confirmation.as_ref().filter(|c| c.committed <= applied) else {
+        let Some(confirmation) = self.confirmation.as_ref().filter(|c| c.committed <= applied) else {
             return vec![];
         };
-        let sent = proof.sent;
-        let waits_for_member = |a: &Arrival| a.had_enough_copies && !has_enough_copies;
-        self.arrivals.extract_if(.., |a| a.since <= sent && !waits_for_member(a)).collect()
+        let sent = confirmation.sent;
+        let waits_for_member = |arrival: &Arrival| arrival.had_enough_copies && !has_enough_copies;
+        self.arrivals.extract_if(.., |arrival| arrival.since <= sent && !waits_for_member(arrival)).collect()
     }
 
     fn expired(&mut self, now: Time) -> Vec<Arrival> {
-        self.arrivals.extract_if(.., |a| now.since(a.since) + REJECT_MARGIN >= write_timeout(&a.op)).collect()
+        self.arrivals
+            .extract_if(.., |arrival| now.since(arrival.since) + REJECT_MARGIN >= write_timeout(&arrival.op))
+            .collect()
     }
 }
 
@@ -138,10 +140,10 @@
     pub(super) fn on_read_index_request(&mut self, view: ViewNo, sent: Time, ctx: &mut Context) {
         let (role, own) = (ctx.views.role, ctx.me.node);
         let Some(chain) = confirmation_view(view, ctx) else { return };
-        if let Some(next) = chain.after(own) {
+        if let Some(next) = chain.successor(own) {
             return ctx.chain(next, ChainMsg::ReadIndexRequest { view, sent });
         }
-        if let (Some(previous), true) = (chain.before(own), role.is_tail && ctx.now < role.lease_until) {
+        if let (Some(previous), true) = (chain.predecessor(own), role.is_tail && ctx.now < role.lease_until) {
             let committed = ctx.views.state.at;
             ctx.chain(previous, ChainMsg::ReadIndexReply { view, sent, committed });
         }
@@ -157,7 +159,7 @@
     ) {
         let (role, own) = (ctx.views.role, ctx.me.node);
         let Some(chain) = confirmation_view(view, ctx) else { return };
-        if let Some(previous) = chain.before(own) {
+        if let Some(previous) = chain.predecessor(own) {
             return ctx.chain(previous, ChainMsg::ReadIndexReply { view, sent, committed });
         }
         if role.is_head && self.read_index.confirmation.as_ref().is_none_or(|c| c.sent < sent) {
@@ -168,17 +170,17 @@
 
     /// Decides on all calls that arrived before the confirmed request.
     pub(super) fn decide_confirmed(&mut self, ctx: &mut Context) {
-        for a in self.read_index.confirmed(ctx.views.state.at, has_enough_copies(ctx)) {
-            self.decide(a.from, a.id, a.attempt, &a.op, ctx);
+        for arrival in self.read_index.confirmed(ctx.views.state.at, has_enough_copies(ctx)) {
+            self.decide(arrival.from, arrival.id, arrival.attempt, &arrival.op, ctx);
         }
     }
 
     /// Timed work: repeats the request while calls wait, and rejects calls that have waited too long.
     pub(super) fn on_read_index_tick(&mut self, ctx: &mut Context) {
         self.decide_confirmed(ctx);
-        for a in self.read_index.expired(ctx.now) {
+        for arrival in self.read_index.expired(ctx.now) {
             let answer = if has_enough_copies(ctx) { unconfirmed_answer() } else { too_few_copies_answer() };
-            ctx.send(a.from, Msg::CallAnswer { id: a.id, attempt: a.attempt, answer });
+            ctx.send(arrival.from, Msg::CallAnswer { id: arrival.id, attempt: arrival.attempt, answer });
         }
         let waits = !self.read_index.arrivals.is_empty();
         if waits && ctx.now.since(self.read_index.requested_at) >= REQUEST_INTERVAL {
--- a/src/chain/recovery.rs
+++ b/src/chain/recovery.rs
@@ -49,7 +49,7 @@
         rows.extend(self.acceptor.records());
         let state = Box::new(state.clone());
         rows.push(Record::Snapshot { at: self.log.base, base_view: self.log.base_view, state });
-        rows.extend(self.log.iter().map(|e| Record::Entry { entry: Box::new(e.clone()) }));
+        rows.extend(self.log.iter().map(|entry| Record::Entry { entry: Box::new(entry.clone()) }));
         rows
     }
 }
@@ -73,29 +73,29 @@
 
 /// Describes a data folder by its records.
 pub fn inspect_records(records: &[Record]) -> StoredCopy {
-    let c = Chain::new(NodeId(0), records.to_vec(), Time(0));
-    let mut state = c.restored_state.as_deref().cloned().unwrap_or_default();
-    for e in c.log.iter() {
-        state.fold(e.at, &e.change);
+    let chain = Chain::new(NodeId(0), records.to_vec(), Time(0));
+    let mut state = chain.restored_state.as_deref().cloned().unwrap_or_default();
+    for entry in chain.log.iter() {
+        state.fold(entry.at, &entry.change);
     }
     StoredCopy {
-        node: c.node_id,
-        fleet: c.fleet,
-        view: c.view,
-        synced: c.log.last(),
+        node: chain.node_id,
+        fleet: chain.fleet,
+        view: chain.view,
+        synced: chain.log.last(),
         config_version: state.config_version,
     }
 }
 
 /// The records for going on with this copy as the only member of the chain; none if it holds no view.
 pub fn restore_as_only(records: &[Record]) -> Option<Vec<Record>> {
-    let mut c = Chain::new(NodeId(0), records.to_vec(), Time(0));
-    let old = c.view.clone()?;
-    let me = c.node_id;
+    let mut chain = Chain::new(NodeId(0), records.to_vec(), Time(0));
+    let old = chain.view.clone()?;
+    let own_id = chain.node_id;
     let view_no = ViewNo(old.no.0 + RESTORED_VIEW_STEP);
-    c.acceptor = Acceptor::default();
-    c.view = Some(View { no: view_no, chain: vec![me], voters: vec![me] });
-    c.ready_in_view = Some(view_no);
-    let state = c.restored_state.as_deref().cloned().unwrap_or_default();
-    Some(c.records(&state))
+    chain.acceptor = Acceptor::default();
+    chain.view = Some(View { no: view_no, chain: vec![own_id], voters: vec![own_id] });
+    chain.ready_in_view = Some(view_no);
+    let state = chain.restored_state.as_deref().cloned().unwrap_or_default();
+    Some(chain.records(&state))
 }
--- a/src/chain/replicate.rs
+++ b/src/chain/replicate.rs
@@ -57,7 +57,7 @@
 impl Chain {
     /// On the head: appends a change to the log and sends it down the chain. Drops it if the head is not ready, the
     /// chain has too few members, or there is no room.
-    pub fn submit(&mut self, change: &Shared, ctx: &mut Context) {
+    pub fn submit(&mut self, change: &SharedChange, ctx: &mut Context) {
         let Some(view) = self.view.clone() else { return };
         if !self.is_head()
             || !self.is_ready
@@ -69,7 +69,7 @@
         let entry = Entry { at: self.log.last().next(), view: view.no, change: change.clone() };
         self.append_entry(entry.clone(), ctx);
         self.commit_if_tail(ctx);
-        if let Some(next) = view.after(self.node_id) {
+        if let Some(next) = view.successor(self.node_id) {
             self.forward(next, view.no, vec![entry], ctx);
         }
     }
@@ -99,7 +99,7 @@
     /// Tells the next member the last entry of this log, without entries.
     pub fn announce_log_end(&mut self, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
-        let Some(next) = view.after(self.node_id) else { return };
+        let Some(next) = view.successor(self.node_id) else { return };
         let log_last = self.log.last();
         ctx.chain(next, ChainMsg::Append { view: view.no, is_announcement: true, log_last, entries: vec![] });
     }
@@ -107,7 +107,7 @@
     /// Reports to the previous member what is synced and committed here.
     pub fn report_progress(&mut self, ctx: &mut Context) {
         let Some(view) = &self.view else { return };
-        let Some(prev) = view.before(self.node_id) else { return };
+        let Some(prev) = view.predecessor(self.node_id) else { return };
         let (view, synced) = (view.no, self.log.last());
         let synced_to_tail = if self.is_ready { self.synced_to_tail() } else { Version(0) };
         let committed = self.committed;
@@ -126,22 +126,22 @@
     ) {
         let Some(view) = self.view.clone() else { return };
         if view.no != view_no
-            || view.before(self.node_id) != Some(from)
+            || view.predecessor(self.node_id) != Some(from)
             || ctx.free_disk_bytes < MIN_WRITE_BYTES
         {
             return;
         }
         let mut added = Vec::new();
-        for e in rows {
-            match self.log.classify(e) {
+        for entry in rows {
+            match self.log.classify(entry) {
                 EntryFit::Next => {
-                    self.append_entry(e.clone(), ctx);
-                    added.push(e.clone());
+                    self.append_entry(entry.clone(), ctx);
+                    added.push(entry.clone());
                 }
                 EntryFit::AlreadyHeld => {}
                 EntryFit::Gap => break,
                 EntryFit::Conflict => {
-                    let why = format!("entry {} conflicts with the entry of the previous member", e.at);
+                    let why = format!("entry {} conflicts with the entry of the previous member", entry.at);
                     ctx.effects.push(Effect::Reset(why));
                     return;
                 }
@@ -154,7 +154,7 @@
             self.save_ready(view_no, ctx);
             ctx.log_event("chain-ready", format!("{last} in {view_no}"));
         }
-        if let Some(next) = view.after(self.node_id) {
+        if let Some(next) = view.successor(self.node_id) {
             self.forward(next, view_no, added, ctx);
         }
         self.commit_if_tail(ctx);
@@ -166,7 +166,7 @@
     pub fn on_progress(&mut self, from: NodeId, msg: &ChainMsg, ctx: &mut Context) {
         let ChainMsg::Progress { view: view_no, synced, committed, synced_to_tail } = *msg else { return };
         let Some(view) = self.view.clone() else { return };
-        if view.no != view_no || view.after(self.node_id) != Some(from) {
+        if view.no != view_no || view.successor(self.node_id) != Some(from) {
             return;
         }
         if synced > self.log.last() {
@@ -220,8 +220,8 @@
     pub fn apply_up_to(&mut self, upto: Version, ctx: &mut Context) {
         let before = self.committed;
         while self.committed < upto {
-            let Some(e) = self.log.get(self.committed.next()) else { break };
-            let (at, change) = (e.at, e.change.clone());
+            let Some(entry) = self.log.get(self.committed.next()) else { break };
+            let (at, change) = (entry.at, entry.change.clone());
             self.committed = at;
             ctx.publish(JournalEvent::Committed { at, change });
         }
@@ -232,4 +232,4 @@
 }
 
 /// A change shared between components.
-pub type Shared = Arc<crate::fleet::state::Change>;
+pub type SharedChange = Arc<crate::fleet::state::Change>;
--- a/src/chain/serving_leases.rs
+++ b/src/chain/serving_leases.rs
@@ -119,7 +119,7 @@
     fn on_applications(&mut self, view_no: ViewNo, rows: &[LeaseApplication], ctx: &mut Context) {
         let Some(view) = self.current_view(ctx).filter(|v| v.no == view_no) else { return };
         self.history.record(&ctx.views.state);
-        if let Some(next) = view.after(ctx.me.node) {
+        if let Some(next) = view.successor(ctx.me.node) {
             rows.iter().for_each(|a| self.record(a, ctx));
             return ctx.chain(next, ChainMsg::LeaseApplications { view: view_no, rows: rows.to_vec() });
         }
@@ -196,7 +196,7 @@
     fn send_released(&mut self, ctx: &mut Context) {
         self.released_sent_at = ctx.now;
         let Some(view) = self.current_view(ctx) else { return };
-        if let Some(previous) = view.before(ctx.me.node) {
+        if let Some(previous) = view.predecessor(ctx.me.node) {
             let upto = ctx.views.released;
             ctx.chain(previous, ChainMsg::Released { view: view.no, upto });
         }
--- a/src/chain/view.rs
+++ b/src/chain/view.rs
@@ -37,14 +37,14 @@
         self.chain.contains(&node)
     }
 
-    /// The member that passes changes to `node`.
-    pub fn before(&self, node: NodeId) -> Option<NodeId> {
+    /// The member before `node` in the chain, which passes changes to it.
+    pub fn predecessor(&self, node: NodeId) -> Option<NodeId> {
         let at = self.chain.iter().position(|n| *n == node)?;
         at.checked_sub(1).map(|k| self.chain[k])
     }
 
-    /// The member that `node` passes changes to.
-    pub fn after(&self, node: NodeId) -> Option<NodeId> {
+    /// The member after `node` in the chain, to which it passes changes.
+    pub fn successor(&self, node: NodeId) -> Option<NodeId> {
         let at = self.chain.iter().position(|n| *n == node)?;
         self.chain.get(at + 1).copied()
     }
@@ -55,7 +55,7 @@
     }
 
     /// All members and voters, without duplicates.
-    pub fn all(&self) -> Vec<NodeId> {
+    pub fn nodes(&self) -> Vec<NodeId> {
         let mut all = self.chain.clone();
         all.extend(self.voters.iter().filter(|v| !self.chain.contains(v)));
         all
@@ -73,7 +73,7 @@
     }
 
     /// The next view without the members in `lost`; these keep their votes until a member takes them over.
-    pub fn without(&self, lost: &[NodeId]) -> View {
+    pub fn without_members(&self, lost: &[NodeId]) -> View {
         let mut next = self.next();
         next.chain.retain(|n| !lost.contains(n));
         next
@@ -81,7 +81,7 @@
 
     /// The next view with `new` at the end of the chain and without a vote. `None` if the chain is full and no vote
     /// is vacant.
-    pub fn with(&self, new: NodeId, me: &LocalNode) -> Option<View> {
+    pub fn with_member(&self, new: NodeId, me: &LocalNode) -> Option<View> {
         if self.chain.len() >= me.max_chain_length() && !self.has_vacant_vote() {
             return None;
         }
@@ -104,7 +104,7 @@
 
     /// The next view without `leaver`. Its vote goes to the first of `candidates`; it keeps it if there are none.
     pub fn without_leaver(&self, leaver: NodeId, candidates: &[NodeId]) -> View {
-        let mut next = self.without(&[leaver]);
+        let mut next = self.without_members(&[leaver]);
         next.give_vacant_votes(candidates);
         next
     }
--- a/src/chain/view_change.rs
+++ b/src/chain/view_change.rs
@@ -86,7 +86,7 @@
 
     fn propose_without(&mut self, view: &View, lost: &[NodeId], ctx: &mut Context) {
         let longest = lost.iter().map(|n| self.silence(*n, ctx.now)).max().unwrap_or_default();
-        let next = view.without(lost);
+        let next = view.without_members(lost);
         let rank = next.chain.iter().position(|n| *n == self.node_id).unwrap_or(0) as u64;
         if longest < SILENCE_LIMIT + Span::ms(rank * RANK_STEP_MS) {
             return;
@@ -188,8 +188,8 @@
         }
         let decided = proposal.proposed_view.clone();
         self.install(decided.clone(), ctx);
-        let mut all = view.all();
-        all.extend(decided.all());
+        let mut all = view.nodes();
+        all.extend(decided.nodes());
         all.sort();
         all.dedup();
         for node in all.into_iter().filter(|n| *n != self.node_id) {
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -25,16 +25,16 @@
     }
 
     /// Merges what a partner sent.
-    pub fn merge_gossip(&mut self, from: NodeId, g: &Gossip, ctx: &mut Context) {
-        for c in &g.rows {
-            self.table.merge(c, ctx.me, ctx.now);
+    pub fn merge_gossip(&mut self, from: NodeId, gossip: &Gossip, ctx: &mut Context) {
+        for claim in &gossip.rows {
+            self.table.merge(claim, ctx.me, ctx.now);
         }
-        self.marks.merge(&g.marks, ctx);
-        if let Some(v) = &g.view {
-            publish_if_newer(v, ctx);
+        self.marks.merge(&gossip.marks, ctx);
+        if let Some(view) = &gossip.view {
+            publish_if_newer(view, ctx);
         }
         let partner = self.partner_entry(from);
-        partner.known_view = g.view_at;
+        partner.known_view = gossip.view_at;
         partner.heard_at = Some(ctx.now);
     }
 
@@ -42,17 +42,17 @@
     /// of this node, so the message to it includes this node's own row.
     pub fn next_gossip(&mut self, to: NodeId, ctx: &Context) -> Gossip {
         self.partner_entry(to);
-        let Some(p) = self.partners.get_mut(&to) else { return Gossip::default() };
-        let (mut rows, sent) = self.table.since(p.sent_seq, MAX_ROWS, ctx.me, ctx.now);
-        let answers = p.heard_at.is_some_and(|heard| ctx.now.since(heard) < SUSPECT_AFTER);
+        let Some(partner) = self.partners.get_mut(&to) else { return Gossip::default() };
+        let (mut rows, sent) = self.table.since(partner.sent_seq, MAX_ROWS, ctx.me, ctx.now);
+        let answers = partner.heard_at.is_some_and(|heard| ctx.now.since(heard) < SUSPECT_AFTER);
         if !answers && rows.iter().all(|claim| claim.who.node != ctx.me.node) {
             rows.extend(self.table.claim(ctx.me.node, ctx.me, ctx.now));
         }
-        let (marks, marked) = self.marks.since(p.sent_marks_seq, MAX_ROWS, ctx.now);
-        (p.sent_seq, p.sent_marks_seq) = (sent, marked);
+        let (marks, marked) = self.marks.since(partner.sent_marks_seq, MAX_ROWS, ctx.now);
+        (partner.sent_seq, partner.sent_marks_seq) = (sent, marked);
         let no = view_no(ctx);
-        let view = ctx.views.view.clone().filter(|_| p.known_view < no);
-        p.known_view = p.known_view.max(no);
+        let view = ctx.views.view.clone().filter(|_| partner.known_view < no);
+        partner.known_view = partner.known_view.max(no);
         Gossip { digest: self.table.digest ^ self.marks.digest, rows, marks, view_at: no, view }
     }
 
@@ -68,18 +68,22 @@
     /// cannot be reached and is not asked; another one is asked when its next message comes.
     pub fn compare_digest(&mut self, from: NodeId, digest: u64, ctx: &mut Context) {
         let same = digest == self.table.digest ^ self.marks.digest;
-        let Some(p) = self.partners.get_mut(&from) else { return };
+        let Some(partner) = self.partners.get_mut(&from) else { return };
         if same {
-            p.differs_since = None;
+            partner.differs_since = None;
             self.sync_tries = 0;
             return;
         }
-        let off = ctx.now.since(*p.differs_since.get_or_insert(ctx.now));
-        let view = ctx.views.view.as_ref().map(|v| v.all()).unwrap_or_default();
-        let blind = view.iter().any(|n| *n != ctx.me.node && !self.table.rows.contains_key(n));
-        let wait = Span::ms(if blind { 200 } else { 500 << self.sync_tries.saturating_sub(4).min(4) });
-        let reached = self.table.rows.contains_key(&from);
-        if reached && (blind || off >= DIFFERENCE_GRACE) && ctx.now.since(self.sync_requested_at) >= wait {
+        let differing_for = ctx.now.since(*partner.differs_since.get_or_insert(ctx.now));
+        let view = ctx.views.view.as_ref().map(|view| view.nodes()).unwrap_or_default();
+        let misses_member = view.iter().any(|n| *n != ctx.me.node && !self.table.rows.contains_key(n));
+        let wait =
+            Span::ms(if misses_member { 200 } else { 500 << self.sync_tries.saturating_sub(4).min(4) });
+        let is_reachable = self.table.rows.contains_key(&from);
+        if is_reachable
+            && (misses_member || differing_for >= DIFFERENCE_GRACE)
+            && ctx.now.since(self.sync_requested_at) >= wait
+        {
             self.sync_requested_at = ctx.now;
             self.sync_tries += 1;
             ctx.send(from, Msg::GossipRequest);
@@ -120,34 +124,36 @@
                 let msg = Msg::Welcome { empty, gossip };
                 ctx.effects.push(Effect::SendAt { addr: me.addr, msg });
             }
-            Msg::Welcome { gossip: Some(g), .. } | Msg::Gossip(g) => self.merge_gossip(from, g, ctx),
-            Msg::Ping(g) => {
-                self.merge_gossip(from, g, ctx);
+            Msg::Welcome { gossip: Some(gossip), .. } | Msg::Gossip(gossip) => {
+                self.merge_gossip(from, gossip, ctx)
+            }
+            Msg::Ping(gossip) => {
+                self.merge_gossip(from, gossip, ctx);
                 let back = self.next_gossip(from, ctx);
                 ctx.send(from, Msg::Pong(Box::new(back)));
-                self.compare_digest(from, g.digest, ctx);
+                self.compare_digest(from, gossip.digest, ctx);
             }
-            Msg::Pong(g) => {
-                self.merge_gossip(from, g, ctx);
-                self.compare_digest(from, g.digest, ctx);
+            Msg::Pong(gossip) => {
+                self.merge_gossip(from, gossip, ctx);
+                self.compare_digest(from, gossip.digest, ctx);
             }
             Msg::GossipRequest if ctx.now.since(self.snapshot_sent_at) >= SNAPSHOT_INTERVAL => {
                 self.snapshot_sent_at = ctx.now;
-                let g = self.full_gossip(ctx);
-                ctx.send(from, Msg::Gossip(Box::new(g)));
+                let gossip = self.full_gossip(ctx);
+                ctx.send(from, Msg::Gossip(Box::new(gossip)));
             }
             Msg::RunnersLeaving(names) => self.marks.add_listed(names, ctx),
             Msg::ListRead(read) => self.marks.add_listed(&read.leaving, ctx),
             Msg::Suspect { who } => {
                 let known = |n: &&NodeId| {
                     let row = self.table.rows.get(n);
-                    row.is_some_and(|k| k.is_live && ctx.now.since(k.heard_at) < SUSPECT_AFTER)
+                    row.is_some_and(|known| known.is_live && ctx.now.since(known.heard_at) < SUSPECT_AFTER)
                 };
                 let rows = who.iter().filter(known).filter_map(|n| self.table.claim(*n, ctx.me, ctx.now));
                 let rows: Vec<Claim> = rows.collect();
                 if !rows.is_empty() {
-                    let g = Gossip { rows, view_at: view_no(ctx), ..Gossip::default() };
-                    ctx.send(from, Msg::Gossip(Box::new(g)));
+                    let gossip = Gossip { rows, view_at: view_no(ctx), ..Gossip::default() };
+                    ctx.send(from, Msg::Gossip(Box::new(gossip)));
                 }
             }
             _ => {}
@@ -157,7 +163,7 @@
 
 /// The number of the newest view that this node knows; 0 without one.
 pub fn view_no(ctx: &Context) -> ViewNo {
-    ctx.views.view.as_ref().map_or(ViewNo(0), |v| v.no)
+    ctx.views.view.as_ref().map_or(ViewNo(0), |view| view.no)
 }
 
 /// Publishes a view that is newer than the known one.
--- a/src/membership/marks.rs
+++ b/src/membership/marks.rs
@@ -53,8 +53,8 @@
 
     /// Merges marks that another node sent.
     pub fn merge(&mut self, marks: &[Mark], ctx: &mut Context) {
-        for m in marks {
-            self.add(&m.instance, m.age, ctx);
+        for mark in marks {
+            self.add(&mark.instance, mark.age, ctx);
         }
     }
 
--- a/src/membership/service.rs
+++ b/src/membership/service.rs
@@ -79,35 +79,35 @@
         }
         self.watch_generation = self.table.watch.generation;
         let mut old = std::mem::take(&mut self.watched);
-        for n in self.table.watch.watched(ctx.me.node) {
-            self.watched.insert(n, old.remove(&n).unwrap_or(ctx.now));
+        for node in self.table.watch.watched(ctx.me.node) {
+            self.watched.insert(node, old.remove(&node).unwrap_or(ctx.now));
         }
         let watchers: Vec<NodeId> = self.table.watch.watchers(ctx.me.node).collect();
-        self.partners.retain(|n, _| self.watched.contains_key(n) || watchers.contains(n));
+        self.partners.retain(|node, _| self.watched.contains_key(node) || watchers.contains(node));
     }
 
     /// Pings the watched nodes, suspected and quiet ones included; quiet ones only in every third round.
     fn send_pings(&mut self, ctx: &mut Context) {
         self.ping_rounds += 1;
         self.refresh_watch(ctx);
-        let mut doubts: BTreeMap<NodeId, Vec<NodeId>> = BTreeMap::new();
-        for (n, since) in self.watched.clone() {
-            let Some(k) = self.table.rows.get(&n) else { continue };
-            let silence = ctx.now.since(k.heard_at.max(since));
-            if k.is_live && silence >= QUIET_AFTER {
-                self.table.mark_quiet(n, ctx.now);
-                ctx.log_event("member-missed", n.to_string());
-            } else if k.is_live && silence >= SUSPECT_AFTER {
-                for w in self.table.watch.watchers(n).filter(|w| *w != ctx.me.node) {
-                    doubts.entry(w).or_default().push(n);
+        let mut suspects: BTreeMap<NodeId, Vec<NodeId>> = BTreeMap::new();
+        for (node, since) in self.watched.clone() {
+            let Some(known) = self.table.rows.get(&node) else { continue };
+            let silence = ctx.now.since(known.heard_at.max(since));
+            if known.is_live && silence >= QUIET_AFTER {
+                self.table.mark_quiet(node, ctx.now);
+                ctx.log_event("member-missed", node.to_string());
+            } else if known.is_live && silence >= SUSPECT_AFTER {
+                for watcher in self.table.watch.watchers(node).filter(|watcher| *watcher != ctx.me.node) {
+                    suspects.entry(watcher).or_default().push(node);
                 }
-            } else if !k.is_live && !(self.ping_rounds + n.0).is_multiple_of(3) {
+            } else if !known.is_live && !(self.ping_rounds + node.0).is_multiple_of(3) {
                 continue;
             }
-            let g = self.next_gossip(n, ctx);
-            ctx.send(n, Msg::Ping(Box::new(g)));
+            let gossip = self.next_gossip(node, ctx);
+            ctx.send(node, Msg::Ping(Box::new(gossip)));
         }
-        for (to, who) in doubts {
+        for (to, who) in suspects {
             ctx.send(to, Msg::Suspect { who });
         }
     }
@@ -124,13 +124,15 @@
         all.extend(self.table.watch.watchers(ctx.me.node));
         all.sort();
         all.dedup();
-        for n in all {
-            let behind = self.partners.get(&n).is_some_and(|p| {
-                p.sent_seq < self.table.seq || p.sent_marks_seq < self.marks.seq || p.known_view < no
+        for node in all {
+            let behind = self.partners.get(&node).is_some_and(|partner| {
+                partner.sent_seq < self.table.seq
+                    || partner.sent_marks_seq < self.marks.seq
+                    || partner.known_view < no
             });
-            if behind && self.table.rows.get(&n).is_some_and(|k| k.is_live) {
-                let g = self.next_gossip(n, ctx);
-                ctx.send(n, Msg::Gossip(Box::new(g)));
+            if behind && self.table.rows.get(&node).is_some_and(|known| known.is_live) {
+                let gossip = self.next_gossip(node, ctx);
+                ctx.send(node, Msg::Gossip(Box::new(gossip)));
             }
         }
     }
@@ -204,7 +206,7 @@
     }
 
     fn status(&self, _now: Time) -> Vec<(&'static str, String)> {
-        let live = self.table.rows.values().filter(|k| k.is_live).count();
+        let live = self.table.rows.values().filter(|known| known.is_live).count();
         vec![("known", self.table.rows.len().to_string()), ("live", live.to_string())]
     }
 }
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -76,7 +76,7 @@
     fn record_change(&mut self, node: NodeId) {
         self.seq += 1;
         let old = match self.rows.get_mut(&node) {
-            Some(k) => std::mem::replace(&mut k.seq, self.seq),
+            Some(known) => std::mem::replace(&mut known.seq, self.seq),
             None => std::mem::replace(&mut self.own_seq, self.seq),
         };
         self.change_order.remove(&old);
@@ -85,12 +85,12 @@
 
     /// Marks a node as live or quiet.
     fn set_live(&mut self, node: NodeId, live: bool, now: Time) {
-        let Some(k) = self.rows.get_mut(&node) else { return };
-        if k.is_live == live {
+        let Some(known) = self.rows.get_mut(&node) else { return };
+        if known.is_live == live {
             return;
         }
-        (k.is_live, k.live_changed_at) = (live, now);
-        self.digest ^= row_digest(&k.who);
+        (known.is_live, known.live_changed_at) = (live, now);
+        self.digest ^= row_digest(&known.who);
         self.is_dirty = true;
         if live {
             self.watch.add_watcher(node)
@@ -104,10 +104,10 @@
     pub fn drop(&mut self, node: NodeId) {
         self.set_live(node, false, Time(0));
         self.watch.remove_watched(node);
-        if let Some(k) = self.rows.remove(&node) {
-            self.change_order.remove(&k.seq);
-            if self.by_address.get(&k.who.addr) == Some(&node) {
-                self.by_address.remove(&k.who.addr);
+        if let Some(known) = self.rows.remove(&node) {
+            self.change_order.remove(&known.seq);
+            if self.by_address.get(&known.who.addr) == Some(&node) {
+                self.by_address.remove(&known.who.addr);
             }
         }
         self.is_dirty = true;
@@ -115,8 +115,8 @@
 
     /// Records that a message came from a node.
     pub fn mark_heard(&mut self, node: NodeId, now: Time) {
-        if let Some(k) = self.rows.get_mut(&node) {
-            k.heard_at = now;
+        if let Some(known) = self.rows.get_mut(&node) {
+            known.heard_at = now;
             self.set_live(node, true, now);
         }
     }
@@ -133,49 +133,53 @@
 
     /// Merges a claim of another node. A wrong claim about this node, or one that is older than what is known here,
     /// is answered by sending the row again. Of two nodes at one address the one heard last stays.
-    pub fn merge(&mut self, c: &Claim, me: &LocalNode, now: Time) {
-        let node = c.who.node;
-        if node == me.node || c.who.addr == me.addr {
-            if c.is_live != (node == me.node) {
+    pub fn merge(&mut self, claim: &Claim, me: &LocalNode, now: Time) {
+        let node = claim.who.node;
+        if node == me.node || claim.who.addr == me.addr {
+            if claim.is_live != (node == me.node) {
                 self.announce_self(me.node);
             }
             return;
         }
-        if !c.is_live && c.age >= FORGET_AFTER {
+        if !claim.is_live && claim.age >= FORGET_AFTER {
             return;
         }
-        let heard = now - c.age;
-        if let Some(other) = self.by_address.get(&c.who.addr).copied().filter(|o| *o != node) {
+        let heard = now - claim.age;
+        if let Some(other) = self.by_address.get(&claim.who.addr).copied().filter(|o| *o != node) {
             let newer = self.rows.get(&other).is_some_and(|o| (o.heard_at, other) > (heard, node));
             if newer {
-                if c.is_live {
+                if claim.is_live {
                     self.record_change(other);
                 }
                 return;
             }
             self.drop(other);
         }
-        if self.rows.get(&node).is_some_and(|k| k.who != c.who && c.is_live && heard > k.heard_at) {
+        if self
+            .rows
+            .get(&node)
+            .is_some_and(|known| known.who != claim.who && claim.is_live && heard > known.heard_at)
+        {
             self.drop(node);
         }
-        let Some(k) = self.rows.get_mut(&node) else { return self.add(c, heard, now) };
-        if k.is_live == c.is_live {
-            k.heard_at = k.heard_at.max(heard);
-        } else if c.is_live {
-            if heard > k.heard_at + CLAIM_TOLERANCE {
-                k.heard_at = heard;
+        let Some(known) = self.rows.get_mut(&node) else { return self.add(claim, heard, now) };
+        if known.is_live == claim.is_live {
+            known.heard_at = known.heard_at.max(heard);
+        } else if claim.is_live {
+            if heard > known.heard_at + CLAIM_TOLERANCE {
+                known.heard_at = heard;
                 self.set_live(node, true, now);
             }
-        } else if heard + CLAIM_TOLERANCE >= k.heard_at {
-            k.heard_at = heard;
+        } else if heard + CLAIM_TOLERANCE >= known.heard_at {
+            known.heard_at = heard;
             self.set_live(node, false, now);
         } else {
             self.record_change(node);
         }
     }
 
-    fn add(&mut self, c: &Claim, heard: Time, now: Time) {
-        let (node, who) = (c.who.node, c.who.clone());
+    fn add(&mut self, claim: &Claim, heard: Time, now: Time) {
+        let (node, who) = (claim.who.node, claim.who.clone());
         self.by_address.insert(who.addr, node);
         self.rows.insert(
             node,
@@ -183,7 +187,7 @@
         );
         self.watch.add_watched(node);
         self.is_dirty = true;
-        if c.is_live {
+        if claim.is_live {
             self.set_live(node, true, now);
         } else {
             self.record_change(node);
@@ -192,7 +196,7 @@
 
     /// Removes quiet nodes that were not heard for `FORGET_AFTER`.
     pub fn drop_expired(&mut self, now: Time) {
-        let gone = |k: &KnownNode| !k.is_live && now.since(k.heard_at) >= FORGET_AFTER;
+        let gone = |known: &KnownNode| !known.is_live && now.since(known.heard_at) >= FORGET_AFTER;
         let lost: Vec<NodeId> = self.rows.iter().filter(|r| gone(r.1)).map(|r| *r.0).collect();
         lost.into_iter().for_each(|n| self.drop(n));
     }
@@ -202,8 +206,8 @@
         if node == me.node {
             return Some(Claim { who: me.member(), is_live: true, age: Span(0) });
         }
-        let k = self.rows.get(&node)?;
-        Some(Claim { who: k.who.clone(), is_live: k.is_live, age: now.since(k.heard_at) })
+        let known = self.rows.get(&node)?;
+        Some(Claim { who: known.who.clone(), is_live: known.is_live, age: now.since(known.heard_at) })
     }
 
     /// At most `most` claims after change `seq`, and the change number up to which they reach.
@@ -221,17 +225,18 @@
 
     /// When the first node that is quiet, but not published so yet, is to be.
     pub fn next_settled(&self, now: Time) -> Option<Time> {
-        let unsettled = |k: &&KnownNode| !k.is_live && now.since(k.live_changed_at) < QUIET_SETTLE_DELAY;
-        self.rows.values().filter(unsettled).map(|k| k.live_changed_at + QUIET_SETTLE_DELAY).min()
+        let unsettled =
+            |known: &&KnownNode| !known.is_live && now.since(known.live_changed_at) < QUIET_SETTLE_DELAY;
+        self.rows.values().filter(unsettled).map(|known| known.live_changed_at + QUIET_SETTLE_DELAY).min()
     }
 
     /// All members with their silence, as published to the other components.
     pub fn rows_shown(&self, me: &LocalNode, now: Time) -> Vec<MemberRow> {
         let mut rows = vec![MemberRow { who: me.member(), silence: Span(0) }];
-        for k in self.rows.values() {
-            let held = k.is_live || now.since(k.live_changed_at) < QUIET_SETTLE_DELAY;
-            let silence = if held { Span(0) } else { now.since(k.heard_at).max(QUIET_AFTER) };
-            rows.push(MemberRow { who: k.who.clone(), silence });
+        for known in self.rows.values() {
+            let held = known.is_live || now.since(known.live_changed_at) < QUIET_SETTLE_DELAY;
+            let silence = if held { Span(0) } else { now.since(known.heard_at).max(QUIET_AFTER) };
+            rows.push(MemberRow { who: known.who.clone(), silence });
         }
         rows
     }
