--- a/src/gate/order.rs
+++ b/src/gate/order.rs
@@ -219,7 +219,9 @@
                 "this router cannot confirm that its configuration is current; retry or ask another router"
             }
             RefusalReason::NoRunner => "no runner of the service is available; retry later",
-            RefusalReason::UnknownModel => "the service does not offer this model or adapter",
+            RefusalReason::UnknownModel => {
+                "the service does not offer this model or adapter; name one it lists"
+            }
             RefusalReason::QueueFull => "too many requests wait for this service; retry later",
             RefusalReason::DeadlinePassed => "the request could not start before its deadline; retry later",
             RefusalReason::RetryBudgetSpent => {
@@ -232,9 +234,13 @@
             }
             RefusalReason::KeyReassigned => "its key was assigned to another tenant meanwhile; retry",
             RefusalReason::UnknownKey => "no valid API key; send a key that the configuration names",
-            RefusalReason::OverQuota => "the tenant's quota is used up; retry after Retry-After",
+            RefusalReason::OverQuota => {
+                "the tenant's quota (rate and burst) is used up; retry after Retry-After"
+            }
             RefusalReason::QuotaUnknown => "the controller that counts the quota did not answer; retry",
-            RefusalReason::RunnersFull => "the runners tried were full; retry after Retry-After",
+            RefusalReason::RunnersFull => {
+                "the runners tried turned the request away; retry after Retry-After"
+            }
             RefusalReason::ServiceWithdrawn => "the service was withdrawn; read the configuration",
             RefusalReason::DisplacedByHigherClass => "requests of a higher class fill the queue; retry",
         }
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -22,7 +22,7 @@
 same-event|src/transfer/handover.rs|if !self.contract.is_same_place\(a, b\)|if false|must_never_too source_keeps_it
 budget|src/gate/budget.rs|if self.credit < 1.0|if false|must_never_too in_the_budget
 holder-wait|src/placement/component.rs|TAKEOVER_WAIT: Span = Span::ms\(4000\)|TAKEOVER_WAIT: Span = Span::ms(0)|must_never_too three_seconds_apart
-room|src/placement/free_room.rs|if free_mb\(c, o, f\) < mb|if false|must_never_too never_overrun
+room|src/placement/free_room.rs|if free_mb\(config, runner_state, pending\) < mb|if false|must_never_too never_overrun
 in-flight|src/placement/pending_orders.rs|self.table.at_runner\(&report.instance\).filter\(new\).map\(\|f\| f.weight_mb\).sum\(\)|0|placement in_flight
 store-rate|src/placement/pending_orders.rs|at_once.min\(self.store_budget.left\(rule\).max\(0.0\) as u64\)|at_once|must_never_too never_overrun
 sync-first|src/kernel/hold.rs|if self.queue.is_empty\(\) \{|if true {|news before_it_is_synced
@@ -49,14 +49,14 @@
 closed-end|src/forwarding/attempt.rs|end == AnswerEnd::Framed \|\| run.boundary.may_end\(\)|true|platform_stream_end may_not_be_resumed
 unplaced|src/forwarding/resume.rs|\(self.spec.is_resumable && !self.has_event_without_id\)|(self.spec.is_resumable)|platform_stream_end without_ids
 withdrawn-room|src/placement/load_backoff.rs|let known: Option<u64> = names.map\(\|name\| config.max_mb\(name\)\).sum\(\);\s+known.unwrap_or\(report.room_mb\)|names.filter_map(\|name\| config.weight(name)).sum()|withdrawn over_its_room
-withdrawn-unload|src/placement/move_execution.rs|self.unload_withdrawn\(&s, ctx\);||withdrawn over_its_room
+withdrawn-unload|src/placement/move_execution.rs|self.unload_withdrawn\(&slice, ctx\);||withdrawn over_its_room
 stop-delivered|src/http/client.rs|matches!\(c.phase\(\), Phase::Serving \| Phase::Flushing\) \|\| c.unacknowledged_bytes\(\) > 0|matches!(c.phase(), Phase::Serving)|platform_stop handed_over
 stop-lingers|src/http/client.rs|self.connections.stopping.load\(Ordering::SeqCst\)\s+&& |false && |platform_stop handed_over
 order-sequence|src/sim/runner_orders.rs|Some\(o.expected\)|None|room held_up
 foreign-order|src/placement/pending_orders.rs|busy && !self.table|false && !self.table|room predecessor
 overdue-room|src/placement/pending_orders.rs|f.is_overdue \|= !f.is_accepted|f.is_finished \|= !f.is_accepted|placement in_flight
-plan-accept|src/placement/proposals.rs|s.config.placement.auto \{ PlanState::Running|true { PlanState::Running|plan version_is_accepted
-plan-allowance|src/placement/plan_execution.rs|if ms > most.ms \|\| tries > most.tries|if false|plan at_its_allowance
+plan-accept|src/placement/proposals.rs|slice.config.placement.auto \{ PlanState::Running|true { PlanState::Running|plan version_is_accepted
+plan-allowance|src/placement/plan_execution.rs|if ms > allowance.ms \|\| tries > allowance.tries|if false|plan at_its_allowance
 route-again|src/gate/admission.rs|if spec.routes_version >= self.routes.0|if true|turn their_route_is_dropped
 key-known|src/gate/admission.rs|if credential.is_none\(\) && !row.route.open|if false|platform_keys has_no_known_key
 key-last-check|src/gate/admission.rs|None => Err\(RefusalReason::UnknownKey\),|None => Ok(()),|tenants none_begins_after_the_change
@@ -95,7 +95,7 @@
 snapshot-back|src/chain/join.rs|pred != Some\(from\) \|\| at <= self.log.last\(\)|pred != Some(from) \|\| at <= self.committed|snapshot comes_late
 lost-tail-reset|src/chain/replicate.rs|if synced > self.log.last\(\) \{|if false {|snapshot resets_and_joins
 stuck-grants|src/kernel/hold.rs|\|\| \(stuck && needs_no_disk\(&effect\)\)||hold leave_at_once
-sync-reachable|src/membership/exchange.rs|let reached = self.table.rows.contains_key\(&from\);|let reached = true;|membership can_be_reached_is_asked
+sync-reachable|src/membership/exchange.rs|let is_reachable = self.table.rows.contains_key\(&from\);|let is_reachable = true;|membership can_be_reached_is_asked
 name-itself|src/membership/exchange.rs|if !answers && rows|if false && rows|membership says_who_sends_it
 want-order|src/placement/wanted_names.rs|\* self.waiting_requests\(\) \* weight|* weight|wants goes_ahead_of_them
 lease-returned|src/chain/acceptor.rs|self.return_lease\(\*view_no, ctx\);||full_and_wiped served_in_each_case
