--- a/src/chain/adoption.rs
+++ b/src/chain/adoption.rs
@@ -33,7 +33,7 @@
     pub(super) fn queue_adoption(&mut self, id: ChangeId, op: &OperatorCall, ctx: &mut Context) {
         let OperatorCall::PlatformConfig { base, part, text } = op else { return };
         if self.adoptions.protocol.is_none() {
-            let text = "this node accepts configurations in the native format only";
+            let text = "this node takes configurations in the product's own format only";
             return self.finish(id, Answer::new(400, "bad-order", text, 0), ctx);
         }
         if self.adoptions.waiting.len() >= QUEUE_CAPACITY {
@@ -180,5 +180,5 @@
 
 fn stale_text(base: u64, ctx: &Context) -> String {
     let current = ctx.views.state.config.revision;
-    format!("it builds on {base}, but the current revision is {current}; read that and send again")
+    format!("it builds on {base}; the current revision is {current}; read it and send again")
 }
--- a/src/chain/change_queue.rs
+++ b/src/chain/change_queue.rs
@@ -175,7 +175,7 @@
 /// succeeded.
 fn write_obstacle(ctx: &Context) -> Option<Answer> {
     if ctx.free_disk_bytes < NEARLY_FULL_BYTES && !ctx.views.role.peers_have_room {
-        let text = "the head's disk is nearly full and nothing was written; free some space there";
+        let text = "the head's disk is nearly full and nothing was written; free room there";
         return Some(Answer::new(507, "disk-full", text, 5));
     }
     if ctx.views.role.copies < ctx.views.role.required_copies {
@@ -186,13 +186,13 @@
 
 /// The answer to a change while the chain has too few members.
 pub(super) fn too_few_copies_answer() -> Answer {
-    let text = "the chain has too few members to accept changes; bring back a controller";
+    let text = "the chain has too few members left and takes no change; bring back a controller";
     Answer::new(503, "too-few-copies", text, 2)
 }
 
 /// The answer to a change when the queue is full.
 pub(super) fn queue_full_answer() -> Answer {
-    Answer::new(503, "inbox-full", "too many changes are waiting; send it again later", 1)
+    Answer::new(503, "inbox-full", "too many changes wait; send it again later", 1)
 }
 
 impl Component for ChangeQueue {
--- a/src/chain/operator_reads.rs
+++ b/src/chain/operator_reads.rs
@@ -35,12 +35,7 @@
             ("configuration", state.config.shown()),
         ]),
         ["source"] if state.config.source.is_empty() => {
-            return Answer::new(
-                404,
-                "no-configuration",
-                "no configuration has been accepted yet; send one",
-                0,
-            );
+            return Answer::new(404, "no-configuration", "no configuration was taken yet; send one", 0);
         }
         ["source"] => return Answer::ok(state.config.source.clone()),
         ["status"] => status(views),
@@ -54,7 +49,7 @@
         ["change", id] => {
             let name = ChangeId::parse_name(id);
             if let Some(at) = name.and_then(|name| taken_at(state, name)).filter(|at| *at > views.released) {
-                let text = format!("the change is being distributed to the routers as {at}; ask again");
+                let text = format!("the change is on its way to the routers as {at}; ask again");
                 return Answer::new(202, "taken", &text, 1);
             }
             if let Some(o) = name.and_then(|name| state.outcome_named(name)) {
@@ -66,7 +61,7 @@
             if state.candidate.as_ref().is_some_and(|t| Some(t.id.name) == name) {
                 return Answer::new(202, "rehearsing", "the change is under rehearsal; ask again", 1);
             }
-            let text = "no such change is recorded; it was not accepted, or is too old to be kept";
+            let text = "no such change is recorded; it was not taken, or is too old to be kept";
             return Answer::new(404, "unknown-change", text, 0);
         }
         _ => return Answer::new(404, "unknown-path", "see docs/interface.md for what can be asked", 0),
--- a/src/chain/own_change.rs
+++ b/src/chain/own_change.rs
@@ -140,7 +140,7 @@
         return outcome_unknown();
     }
     let code = OutcomeCode::StaleBase;
-    let text = format!("base {base} is not the current {}; read that and send again", state.config_version);
+    let text = format!("base {base} is not the current {}; read it and send again", state.config_version);
     Answer::new(status(code), &code.to_string(), &text, 0)
 }
 
--- a/src/chain/read_index.rs
+++ b/src/chain/read_index.rs
@@ -195,7 +195,7 @@
 
 /// The answer to a call that got no confirmation in time.
 fn unconfirmed_answer() -> Answer {
-    let text = "no majority of the controllers confirms this head; nothing was changed, try another node";
+    let text = "no majority of the controllers confirms this head; nothing was taken, ask another node";
     Answer::new(503, "no-majority", text, 1)
 }
 
--- a/src/chain/reply.rs
+++ b/src/chain/reply.rs
@@ -18,7 +18,7 @@
     });
     let body = map(&[
         ("code", OutcomeCode::BadConfiguration.to_string().into()),
-        ("text", "nothing was changed; fix every listed fault and send again".into()),
+        ("text", "nothing was changed; mend every fault listed and send again".into()),
         ("faults", rows.collect::<Vec<_>>().into()),
     ]);
     Answer {
@@ -46,7 +46,7 @@
         Decision::Outcome(outcome) => ended(outcome),
         Decision::Ledger(LedgerEntry::Taken(order)) => taken(&order),
         Decision::Ledger(LedgerEntry::Refused) => {
-            let text = "this change was refused before; read the current configuration and send a new change";
+            let text = "this very change was refused before; read the current one and send a new one";
             Answer::new(409, &OutcomeCode::StaleBase.to_string(), text, 0)
         }
         Decision::Ledger(LedgerEntry::NameInUse) => {
@@ -66,7 +66,7 @@
     let body = map(&[
         ("id", order.id.to_string().into()),
         ("code", OutcomeCode::Ok.to_string().into()),
-        ("text", "it was accepted before; later changes may have been made on top of it".into()),
+        ("text", "it was taken before; changes may have been made on top of it".into()),
         ("version", order.at.to_string().into()),
     ]);
     Answer::ok(body.to_string())
@@ -74,8 +74,7 @@
 
 /// The answer to a change that may have been accepted so long ago that it is no longer recorded.
 pub fn outcome_unknown() -> Answer {
-    let text =
-        "its base is older than any recorded change; it may have been accepted, so read the current one";
+    let text = "its base is older than this fleet remembers; it may have been taken: read the current one";
     Answer::new(503, "outcome-unknown", text, 5)
 }
 
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -17,6 +17,7 @@
 pub mod nominate;
 pub mod order;
 pub mod pace;
+pub mod prompt_size;
 pub mod rehearse;
 pub mod sweep;
 pub mod table;
--- a/src/gate/order.rs
+++ b/src/gate/order.rs
@@ -8,6 +8,8 @@
 use crate::transfer::continuation::RunContract;
 use compact_str::CompactString;
 
+pub use super::prompt_size::{PromptParts, TokenCounts};
+
 /// A request as balancers and forwarding see it.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
@@ -107,18 +109,6 @@
     }
 }
 
-/// Parts of a prompt: a hash that identifies each, and its number of tokens.
-pub type PromptParts = std::sync::Arc<[(u64, u32)]>;
-
-/// Expected tokens of a request; zero if unknown.
-#[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct TokenCounts {
-    /// Tokens of the prompt.
-    pub prompt: u32,
-    /// Tokens of the answer.
-    pub output: u32,
-}
-
 /// What happens to a request.
 #[derive(Clone, Debug)]
 pub enum RoutingDecision {
@@ -216,33 +206,39 @@
     pub fn text(&self) -> &'static str {
         match self.reason {
             RefusalReason::StaleConfiguration => {
-                "this router cannot confirm that its configuration is current; retry or ask another router"
+                "this router could not prove its configuration current; ask again or ask another router"
             }
-            RefusalReason::NoRunner => "no runner of the service is available; retry later",
+            RefusalReason::NoRunner => "no runner of the service can take it now; ask again later",
             RefusalReason::UnknownModel => {
-                "the service does not offer this model or adapter; name one it lists"
+                "the service does not offer that model or adapter; name one it lists"
             }
-            RefusalReason::QueueFull => "too many requests wait for this service; retry later",
-            RefusalReason::DeadlinePassed => "the request could not start before its deadline; retry later",
+            RefusalReason::QueueFull => "too many orders wait for this service; ask again later",
+            RefusalReason::DeadlinePassed => "it could not be started within its due; ask again later",
             RefusalReason::RetryBudgetSpent => {
-                "the first attempt did not reach a runner and the retry budget is spent; retry later"
+                "the first try did not reach a runner and the retry budget is spent; ask again later"
             }
             RefusalReason::Stopping => "this router is stopping; ask another router",
-            RefusalReason::WaitTooLong => "the expected wait exceeds the deadline; retry after Retry-After",
+            RefusalReason::WaitTooLong => {
+                "the wait for a runner is expected to pass its due; ask again after Retry-After"
+            }
             RefusalReason::RouteChanged => {
-                "its route changed while the request waited; read the current configuration and retry"
+                "its route was changed while it waited; see the current configuration and ask again"
+            }
+            RefusalReason::KeyReassigned => "its key was given to another tenant while it waited; ask again",
+            RefusalReason::UnknownKey => {
+                "it carries no key of a tenant; send a key that the configuration names"
             }
-            RefusalReason::KeyReassigned => "its key was assigned to another tenant meanwhile; retry",
-            RefusalReason::UnknownKey => "no valid API key; send a key that the configuration names",
             RefusalReason::OverQuota => {
-                "the tenant's quota (rate and burst) is used up; retry after Retry-After"
+                "its tenant's quota (rate and burst) is used up; ask again after Retry-After"
+            }
+            RefusalReason::QuotaUnknown => {
+                "the controller that counts its tenant's quota did not answer; ask again"
             }
-            RefusalReason::QuotaUnknown => "the controller that counts the quota did not answer; retry",
-            RefusalReason::RunnersFull => {
-                "the runners tried turned the request away; retry after Retry-After"
+            RefusalReason::RunnersFull => "the runners tried turned it away; ask again after Retry-After",
+            RefusalReason::ServiceWithdrawn => "the service was withdrawn; see the current configuration",
+            RefusalReason::DisplacedByHigherClass => {
+                "orders of a higher class fill the inbox; ask again later"
             }
-            RefusalReason::ServiceWithdrawn => "the service was withdrawn; read the configuration",
-            RefusalReason::DisplacedByHigherClass => "requests of a higher class fill the queue; retry",
         }
     }
 }
--- a/src/gate/rehearse.rs
+++ b/src/gate/rehearse.rs
@@ -12,7 +12,9 @@
 
 /// Whether the candidate still offers what a recent request asked for.
 fn check_offered(c: &FleetConfig, k: &RecentRequest) -> Result<(), String> {
-    let Some(svc) = c.service(&k.service) else { return Err(format!("service {} not offered", k.service)) };
+    let Some(svc) = c.service(&k.service) else {
+        return Err(format!("service {} is not offered", k.service));
+    };
     if svc.sort == ServiceKind::Plain {
         return Ok(());
     }
--- a/src/placement/decision_round.rs
+++ b/src/placement/decision_round.rs
@@ -132,8 +132,8 @@
         let has_unloads = decided.iter().any(|decision| !decision.choice.unloads.is_empty());
         for decision in decided {
             let why = match decision.purpose {
-                Purpose::Wanted => "is wanted and no runner serves it",
-                Purpose::Replica => "needs more replicas",
+                Purpose::Wanted => "is wanted and no runner can take it",
+                Purpose::Replica => "is hot",
             };
             self.start_job(&decision.name, decision.choice, why, ctx);
         }
--- a/src/placement/job.rs
+++ b/src/placement/job.rs
@@ -152,7 +152,7 @@
     ) -> Result<DecisionJob, (PlanId, PlanState, &'static str)> {
         let id = job.id;
         if ctx.now.since(job.started_at) > JOB_TIMEOUT {
-            return Err((id, PlanState::Stopped, "it took too long"));
+            return Err((id, PlanState::Stopped, "its time was spent"));
         }
         if !self.is_staying(runner) {
             return Err((id, PlanState::Stopped, "the runner left"));
--- a/src/placement/move_execution.rs
+++ b/src/placement/move_execution.rs
@@ -105,7 +105,7 @@
         }
         if ms > allowance.ms || tries > allowance.tries {
             let why =
-                format!("the stage used up its allowance; streams left {streams:?}, postponed {postponed}");
+                format!("the stage overran its allowance; streams left {streams:?}, postponed {postponed}");
             return self.change_phase(move_plan, Phase::Stopped, &why, &spent, ctx);
         }
         let report = |n: &Name| {
@@ -129,7 +129,7 @@
             Phase::Warm => {
                 let idle = from.is_some_and(|r| r.runs_of(&move_plan.model) == 0);
                 if idle && streams == Some(0) {
-                    let why = format!("no streams are left; postponed {postponed}");
+                    let why = format!("no stream is left; postponed {postponed}");
                     self.change_phase(move_plan, Phase::Unload, &why, &spent, ctx);
                 }
             }
@@ -138,7 +138,7 @@
                     return self.change_phase(
                         move_plan,
                         Phase::Done,
-                        "no other model is wanted there",
+                        "nothing else is wanted there",
                         &spent,
                         ctx,
                     );
--- a/src/placement/plan_execution.rs
+++ b/src/placement/plan_execution.rs
@@ -68,7 +68,7 @@
         }
         if ms > allowance.ms || tries > allowance.tries {
             let why = format!(
-                "{open} step(s) were left when the stage's allowance was used up; running streams are unaffected; propose again or raise placement.stage"
+                "{open} step(s) left when the allowance was spent; what runs is untouched, propose again or raise placement.stage"
             );
             self.finish_stage(plan, PlanState::Stopped, &why, (ms, tries, allowance), ctx);
         }
@@ -103,9 +103,7 @@
                     return StepStatus::Done;
                 }
                 if report.runs_of(name) > 0 {
-                    return StepStatus::Failed(format!(
-                        "streams of {name} started on {runner}, so it was not unloaded there"
-                    ));
+                    return StepStatus::Failed(format!("streams of {name} began on {runner}; it keeps them"));
                 }
                 if self.try_order(runner, name, false, ctx) {
                     self.count_try(plan);
--- a/src/placement/plan_rehearsal.rs
+++ b/src/placement/plan_rehearsal.rs
@@ -93,7 +93,7 @@
             .any(|runner_state| runner_state.runner.leaving && runner_state.runner.service == **service);
         if *need > have && !leaves {
             faults.push(format!(
-                "{service}: {need} retries are needed and {have} are saved up; wait for traffic or raise budget.allowance"
+                "{service}: {need} tries are needed and {have} are saved; wait for traffic or raise budget.allowance"
             ));
         }
     }
@@ -107,8 +107,7 @@
         .collect();
     if !without_holder.is_empty() {
         let names: Vec<String> = without_holder.iter().map(|stage_number| stage_number.to_string()).collect();
-        faults
-            .push(format!("waiting requests for {} would lose their last holder; keep one", names.join(",")));
+        faults.push(format!("live orders for {} would lose their last holder; keep one", names.join(",")));
     }
     let ms: u64 = plan.stages.iter().map(|step| step.ms).sum();
     let loads: u64 = plan.stages.iter().map(|step| step.loads).sum();
--- a/src/placement/proposals.rs
+++ b/src/placement/proposals.rs
@@ -136,7 +136,7 @@
         if quiet && self.claims.is_empty() && ctx.now.since(self.search.last_idle_plan_at) >= gap {
             self.search.last_idle_plan_at = ctx.now;
             self.propose_full_plan(
-                "memory is free and no request waits",
+                "room is free and nothing is waited for",
                 IDLE_PLAN_MAX_LOADS,
                 slice,
                 &demand,
@@ -204,7 +204,7 @@
         self.answered_plan_request = Some((id, ctx.now));
         let counted = self.orders_with_planned(slice, ctx.now);
         let input = self.plan_input(slice, demand, &counted, ctx);
-        let why = "requested by an operator";
+        let why = "asked for by an operator";
         let mut plan = full_plan(&input, PlanId(id.short()), why, usize::MAX, &self.search.evaluated);
         let rehearsal = rehearse(&input, &plan);
         plan.state = if rehearsal.faults.is_empty() { PlanState::Proposed } else { PlanState::Stopped };
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -76,8 +76,7 @@
             return Answer::new(504, "outcome-unknown", &text, 1);
         }
         if !view_known {
-            let text =
-                "no controllers are known yet; check the seeds and that a majority of the controllers runs";
+            let text = "no core is known yet; check the seeds and that a majority of controllers runs";
             return Answer::new(503, "no-core", text, 1);
         }
         let text = "this node reaches no majority of the controllers; nothing was done, ask another node";
--- a/src/rollout/candidate.rs
+++ b/src/rollout/candidate.rs
@@ -154,7 +154,7 @@
         if routers.is_empty() || !late.is_empty() {
             if ms > allowance.ms || rollout.tries > allowance.tries {
                 let what = if routers.is_empty() {
-                    "no router is alive; start one and send the change again".to_string()
+                    "no router is live; start one and send the change again".to_string()
                 } else {
                     let names: Vec<String> = late.iter().map(|node| node.to_string()).collect();
                     format!(
@@ -182,7 +182,7 @@
                 ms,
                 rollout.tries,
                 allowance,
-                format!("{} routers have it", routers.len()),
+                format!("{} routers hold it", routers.len()),
             ));
             rollout.is_rehearsing = true;
             rollout.stage_started_at = ctx.now;
@@ -204,7 +204,7 @@
         let exceeds_limit = refused * 100 > planned * rules.refused_percent;
         let verdict = if exceeds_limit {
             Verdict::Refuse(format!(
-                "{refused} of {planned} running requests would be refused ({why}), more than {}%; correct the change or raise rollout.refused_percent first",
+                "{refused} of {planned} live orders would be refused ({why}), over {}%; mend it or raise rollout.refused_percent first",
                 rules.refused_percent
             ))
         } else {
--- a/src/transfer/handover.rs
+++ b/src/transfer/handover.rs
@@ -135,8 +135,7 @@
             (self.from_source.get(self.matched as usize), self.from_destination.front())
         {
             if !self.contract.is_same_place(a, b) {
-                return self
-                    .abort("an event of the destination differs from the source's event at the same place");
+                return self.abort("the destination's event differs from the source's of the same place");
             }
             self.matched += 1;
             self.from_destination.pop_front();
@@ -227,7 +226,7 @@
     pub fn tick(&mut self, now: Time) -> Vec<HandoverAction> {
         let most = if self.stage == HandoverStage::Cut { self.limits.cut_ms } else { self.limits.round_ms };
         if now.since(self.round_began_at) > Span::ms(most) {
-            return self.abort("the round exceeded its time limit");
+            return self.abort("a round took longer than its allowance");
         }
         vec![]
     }
--- a/tests/placement_shares.rs
+++ b/tests/placement_shares.rs
@@ -65,7 +65,7 @@
     for event in events {
         let JournalEvent::Text("plan-small", text) = event else { continue };
         let is_missing = missing.iter().any(|name| text.contains(&format!(" {name} is wanted")));
-        replicas += usize::from(text.contains(" needs more replicas"));
+        replicas += usize::from(text.contains(" is hot"));
         wanted += usize::from(is_missing);
     }
     (replicas, wanted)
