--- a/src/daemon/input.rs
+++ b/src/daemon/input.rs
@@ -56,7 +56,7 @@
         let (tx, rx) = oneshot::channel();
         let is_change = matches!(event, Event::OperatorCall { .. });
         let text =
-            format!("this node stopped; the change may still be accepted, ask with: spindledock change {id}");
+            format!("this node stopped; the change may still be taken, ask with: spindledock change {id}");
         let sent = self.tx.send(Input::Ask(id, event, tx)).is_ok();
         let fallback = || match is_change && sent {
             true => Answer::new(504, "outcome-unknown", &text, 2),
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -36,7 +36,7 @@
         if fine {
             Ok(())
         } else {
-            Err("it could not yet prove that its state is current; check seeds and core".into())
+            Err("it could not yet prove its state current; check seeds and core".into())
         }
     };
     let (service, links) = (front.clone(), links.clone());
--- a/src/http/admin.rs
+++ b/src/http/admin.rs
@@ -117,7 +117,7 @@
         let path = order.uri().path().trim_matches('/').to_string();
         let base = if_match_value(order.headers());
         let Some(name) = change_name(order.headers()) else {
-            let text = "X-Change-Id is not an id; give up to 32 hexadecimal digits, or none";
+            let text = "X-Change-Id is no id; give up to 32 hexadecimal digits, or none";
             return coded_answer(400, "bad-order", text, 0, "refused");
         };
         let method = order.method().clone();
@@ -181,7 +181,7 @@
         None => None,
         Some(base) => Some(
             Version::parse(base.trim_matches('"'))
-                .ok_or_else(|| bad_request("If-Match is not a version; give one as shown by config"))?,
+                .ok_or_else(|| bad_request("If-Match is no version; give one as shown by config"))?,
         ),
     };
     let tree = || Tree::parse(&text).map_err(|why| bad_request(&format!("{why}; send well-formed JSON")));
@@ -214,7 +214,7 @@
         (&Method::POST, ["v1", "plan", "propose"]) => OperatorCall::ProposePlan,
         (&Method::POST, ["v1", "plan", "accept", at]) => match Version::parse(at) {
             Some(at) => OperatorCall::AcceptPlan(at),
-            None => return Err(bad_request("the plan's version is malformed; give one as shown by plan")),
+            None => return Err(bad_request("the plan's version is no version; give one as shown by plan")),
         },
         (&Method::POST, ["v1", "moves"]) => {
             let tree = tree()?;
--- a/src/http/native.rs
+++ b/src/http/native.rs
@@ -53,7 +53,7 @@
             *to = match tree.get(key) {
                 Some(Tree::Text(t)) => t.as_str().into(),
                 None | Some(Tree::Null) => "".into(),
-                Some(_) => return Err("model, adapter and prefix must be strings"),
+                Some(_) => return Err("model, adapter and prefix must be texts"),
             };
         }
         if out.model.is_empty() {
--- a/src/http/request_service.rs
+++ b/src/http/request_service.rs
@@ -131,7 +131,7 @@
                 return coded_answer(
                     400,
                     "body-unread",
-                    "the body did not arrive completely; send it again",
+                    "the body did not arrive whole; send it again",
                     0,
                     "refused",
                 );
@@ -178,13 +178,9 @@
         });
         match rx.await {
             Ok(answer) => answer,
-            Err(_) => coded_answer(
-                502,
-                "outcome-unknown",
-                "the request was dropped; it may have been executed",
-                0,
-                "unknown",
-            ),
+            Err(_) => {
+                coded_answer(502, "outcome-unknown", "the order was dropped; it may have run", 0, "unknown")
+            }
         }
     }
 
--- a/src/json/parse.rs
+++ b/src/json/parse.rs
@@ -33,7 +33,7 @@
     let tree = parser.value(0)?;
     match parser.peek() {
         None => Ok(tree),
-        Some(_) => Err(parser.error("there is text after the end of the document")),
+        Some(_) => Err(parser.error("text after the end")),
     }
 }
 
@@ -143,8 +143,8 @@
                     return Ok(out);
                 }
                 Some(b'\\') => out.push(self.escape()?),
-                Some(_) => return Err(self.error("a string contains a control character")),
-                None => return Err(self.error("a string is not terminated")),
+                Some(_) => return Err(self.error("a control character stands in a text")),
+                None => return Err(self.error("a text has no end")),
             }
         }
     }
@@ -163,7 +163,7 @@
             Some(b'r') => '\r',
             Some(b't') => '\t',
             Some(b'u') => return self.unicode(),
-            _ => return Err(self.error("an escape sequence is unknown")),
+            _ => return Err(self.error("an unknown escape")),
         })
     }
 
--- a/src/platform/caller.rs
+++ b/src/platform/caller.rs
@@ -48,7 +48,7 @@
         };
         if let Some(ms) = header_text(headers, "x-deadline-ms") {
             let Some(ms) = ms.parse::<f64>().ok().filter(|n| n.is_finite()) else {
-                return Err("X-Deadline-Ms is not a number of milliseconds; send one");
+                return Err("X-Deadline-Ms is no number of milliseconds; send one");
             };
             out.due = Some(Span((ms.max(0.0) * 1000.0) as u64));
         }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -69,7 +69,7 @@
         Some(n) => c.revision = n,
         None => faults.push(fault(
             REVISION,
-            "is not a whole number up to 2^53",
+            "is no whole number up to 2^53",
             "give a number above the current one",
         )),
     }
@@ -84,7 +84,7 @@
     }
     for key in REQUIRED_LISTS {
         if !matches!(tree.get(key), Some(Tree::List(_))) {
-            faults.push(fault(key, "is not a list", "send the whole configuration"));
+            faults.push(fault(key, "is no list", "send the whole configuration"));
         }
     }
     for t in tree.list("Backends") {
--- a/src/platform/merge.rs
+++ b/src/platform/merge.rs
@@ -16,7 +16,7 @@
 const WITHDRAW: &str = "Withdraw";
 
 fn not_an_object() -> Vec<Fault> {
-    vec![Fault::new(Kind::Config, "configuration", "is not an object", "send one JSON object")]
+    vec![Fault::new(Kind::Config, "configuration", "is no object", "send one JSON object")]
 }
 
 /// Parses a document. Fails unless it is one JSON object.
--- a/src/platform/precondition.rs
+++ b/src/platform/precondition.rs
@@ -78,7 +78,7 @@
             Unmatchable::Weak => "is a weak tag, which matches no revision",
             Unmatchable::List => "is a list",
             Unmatchable::TooLarge => "is larger than any revision can be",
-            Unmatchable::NotANumber => "is not a revision",
+            Unmatchable::NotANumber => "is no revision",
         };
         write!(f, "If-Match {why}; give the number of the one revision that it builds on")
     }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -70,7 +70,7 @@
         if let Some(t) = self.at(path).as_str() {
             return t.to_string();
         }
-        self.faults.push(fault(path, "is missing or not a text", "give it as the settings page says"));
+        self.faults.push(fault(path, "is missing or no text", "give it as the settings page says"));
         String::new()
     }
 
@@ -79,7 +79,7 @@
         if let Ok(a) = text.parse() {
             return a;
         }
-        self.faults.push(fault(path, format!("\"{text}\" is not an address"), "give IP:PORT"));
+        self.faults.push(fault(path, format!("\"{text}\" is no address"), "give IP:PORT"));
         SocketAddr::from(([0, 0, 0, 0], 0))
     }
 
@@ -116,11 +116,7 @@
     };
     let ip = reader.text("Ip");
     let ip: IpAddr = ip.parse().unwrap_or_else(|_| {
-        reader.faults.push(fault(
-            "Ip",
-            format!("\"{ip}\" is not an address"),
-            "give this machine's IP number",
-        ));
+        reader.faults.push(fault("Ip", format!("\"{ip}\" is no address"), "give this machine's IP number"));
         admin.ip()
     });
     let port = reader.at("EphemeralPorts")[0].as_i64().and_then(|n| u16::try_from(n).ok()).unwrap_or(0);
@@ -129,14 +125,12 @@
     }
     let mut seeds: Vec<SocketAddr> = Vec::new();
     if reader.at("SeedPeers").as_vec().is_none() {
-        reader.faults.push(fault("SeedPeers", "is not a list", "list the addresses of other machines"));
+        reader.faults.push(fault("SeedPeers", "is no list", "list the addresses of other machines"));
     }
     for s in reader.at("SeedPeers").as_vec().cloned().unwrap_or_default() {
         match s.as_str().and_then(|t| t.parse::<SocketAddr>().ok()) {
             Some(a) => seeds.push(SocketAddr::new(a.ip(), port)),
-            None => {
-                reader.faults.push(fault("SeedPeers", format!("{s:?} is not an address"), "give IP:PORT"))
-            }
+            None => reader.faults.push(fault("SeedPeers", format!("{s:?} is no address"), "give IP:PORT")),
         }
     }
     let data = reader.at("DataDir").as_str().map(PathBuf::from);
--- a/src/platform/tenants.rs
+++ b/src/platform/tenants.rs
@@ -21,7 +21,7 @@
 pub fn read(document: &Tree, faults: &mut Vec<Fault>) -> Vec<Tenant> {
     match document.get(TENANTS) {
         None | Some(Tree::Null | Tree::List(_)) => {}
-        Some(_) => faults.push(fault(TENANTS, "is not a list", "send a list of tenants")),
+        Some(_) => faults.push(fault(TENANTS, "is no list", "send a list of tenants")),
     }
     let mut names = BTreeSet::new();
     let mut keys = BTreeSet::new();
@@ -80,11 +80,11 @@
             for key in items {
                 match key {
                     Tree::Text(text) if !text.is_empty() => drop(keys.insert(KeyDigest::of(text.as_bytes()))),
-                    _ => faults.push(fault(at, "has a key that is not a string", "give keys as strings")),
+                    _ => faults.push(fault(at, "has a key that is no text", "give keys as texts")),
                 }
             }
         }
-        Some(_) => faults.push(fault(at, "ApiKeys is not a list", "list the keys")),
+        Some(_) => faults.push(fault(at, "ApiKeys is no list", "list the keys")),
     }
     keys.into_iter().collect()
 }
@@ -95,11 +95,7 @@
     match item.float(key) {
         Some(number) if (0.0..=MAX_QUOTA_VALUE).contains(&number) => Some(number),
         _ => {
-            faults.push(fault(
-                &format!("{at}.{key}"),
-                "is not a number from 0 to 10^9",
-                "give such a number",
-            ));
+            faults.push(fault(&format!("{at}.{key}"), "is no number from 0 to 10^9", "give such a number"));
             None
         }
     }
